--- a/src/decision/workload_budget.cpp
+++ b/src/decision/workload_budget.cpp
@@ -1,8 +1,9 @@
-// orchidgw's decision module: workload budgets after Pinot's query resource isolation (docs/design.md).
-// The interface that it implements is src/decision/decision.h. Whether a query may be sent, repeated or
-// refused at all is said in src/decision/permission.h; which of what is allowed is done is decided here
-// alone. Map: constants | records | listing | events | learned costs | budget ledger | routing |
-//      admission and holding | the guard of every send (rules 2-7) | attempts and answers (rule 1) | health
+// orchidgw's decision module: workload budgets after Pinot's query resource isolation (docs/design.md;
+// DESIGN in comments: the design that it starts from). Implements the interface src/decision/decision.h.
+// src/decision/permission.h says whether a query may be sent, repeated or refused at all; this file alone
+// chooses among what is allowed. Sections: constants | records | engine list | events | learned costs |
+//      CPU budgets | routing | admission queue | checks before every send (rules 2 to 7) |
+//      attempts and answers (rule 1) | engine health
 #include <algorithm>
 #include <cmath>
 #include <deque>
@@ -18,842 +19,932 @@
 
 // --- Constants: value, unit, reason -----------------------------------------------------------------------
 constexpr TimeUs kMs = 1000;
-constexpr TimeUs kWindow = 5'000 * kMs;      // enforcement window (DESIGN)
-constexpr double kMeanBound = 1.25;          // x this gateway's mean threads per engine (DESIGN)
-constexpr double kThreadsPerCore = 2.0;      // threads per core, all gateways together (DESIGN)
-constexpr double kHot = 1.5;                 // x the mean slowdown from which an engine's slices shrink
-constexpr double kPressure = 2.0;            // slowdown from which the bounds bind: answers take twice
-constexpr TimeUs kFullMemory = 1'000 * kMs;  // a "full" answer or a wait for memory is pressure for this long
-constexpr double kCrowdStep = 0.8, kCrowdLeast = 0.3, kCrowdBack = 0.004;  // step down, floor, step up a tick
-constexpr double kSilenceFloor = 700 * kMs, kSilencePart = 0.6;  // least wait for an answer; part of the aim
-constexpr TimeUs kTick = 20 * kMs;          // housekeeping period: expiry of held queries, silence
-constexpr TimeUs kAnswerMargin = 60 * kMs;  // a held query is answered this long before its time ends
-constexpr double kOverdue = 4.0;            // x what its class takes now: an answer counts as lost
-constexpr double kRunaway = 4.0;            // x what its class takes now, at the pace notes tell: a bad plan
-constexpr TimeUs kNotesMissed = 3;          // x the progress interval without a sign of life: silent
-constexpr TimeUs kTrial = 1'500 * kMs;      // a suspect engine gets one trial query this often
-constexpr double kTrialSpread = 2.0 / 3;    // of that time: over so much of it gateways' trials are spread
-constexpr double kEngineWeight = 0.2, kErrorShare = 0.3;   // of one answer; failed ones: suspect
-constexpr double kLearnWeight = 0.05, kMeanWeight = 0.01;  // of one answer in costs; of one query in means
-constexpr double kSlowMost = 10.0;    // one answer counts as at most this slow: loads stall readers
-constexpr double kGrantSpill = 0.10;  // share of queries that may need more memory than granted
-constexpr double kGrantMost = 0.2;    // of an engine's memory that one query gets
-constexpr double kGrantStart = 1.25;  // x the estimate, before anything is learned
-constexpr double kGrantStep = 0.1;    // how fast that multiple moves (log scale, per answer)
-constexpr double kColdShare = 0.5, kColdOne = 0.2;  // of the cold allowance: all; one query by turn
-constexpr int kTriedRank = 100;                     // engines tried before come after all others
-constexpr size_t kOrdersMost = 4096;                // groups whose order is kept
-constexpr size_t kScanMost = 48;                    // held queries tried for a place at one event
-constexpr std::uint64_t kTokenTick = 1, kTokenReset = 2, kTokenWake = 3;
-
-std::uint64_t mix(std::uint64_t x) {
-  x = (x ^ (x >> 30)) * 0xbf58476d1ce4e5b9ULL;
-  x = (x ^ (x >> 27)) * 0x94d049bb133111ebULL;
-  return x ^ (x >> 31);
+constexpr TimeUs kBudgetWindow = 5'000 * kMs;  // CPU budgets are reset this often (DESIGN)
+constexpr double kMaxThreadsToMean = 1.25;     // bound: x this gateway's mean threads per engine (DESIGN)
+constexpr double kMaxThreadsPerCore = 2.0;     // bound: threads per core, all gateways together (DESIGN)
+constexpr double kHotSlowdownRatio = 1.5;      // x the mean slowdown; above: an engine's budget slices shrink
+constexpr double kPressureSlowdown = 2.0;      // above: thread bounds apply; answers take twice as long
+// How long a "full" answer or a wait for memory counts as pressure.
+constexpr TimeUs kMemoryPressureTime = 1'000 * kMs;
+// Usable part of an engine's memory: factor per wait for memory, least part, recovery per tick.
+constexpr double kMemoryShareShrink = 0.8, kMinMemoryShare = 0.3, kRecoveryPerTick = 0.004;
+// Least time before an answer is overdue; where no notes come, also this part of the latency target if less.
+constexpr double kMinAnswerWaitUs = 700 * kMs, kMinAnswerWaitPerTarget = 0.6;
+constexpr TimeUs kTickPeriod = 20 * kMs;        // expiry of queued queries, overdue attempts
+constexpr TimeUs kAnswerMargin = 60 * kMs;      // queued queries are answered this long before the deadline
+constexpr double kOverdueFactor = 4.0;          // x the class's present time: the answer counts as lost
+constexpr double kRunawayFactor = 4.0;          // x the class's present time by the pace of notes: a bad plan
+constexpr TimeUs kSilentNoteIntervals = 3;      // progress intervals without any message: silent
+constexpr TimeUs kTrialInterval = 1'500 * kMs;  // a suspect engine gets one trial query this often
+constexpr double kTrialSpreadFraction = 2.0 / 3;  // of that interval: gateways' trials spread over it
+// Weight of one answer in an engine's averages; part of failed answers above which it is suspect.
+constexpr double kEngineEwmaWeight = 0.2, kSuspectErrorRate = 0.3;
+// Weight of one answer in a class's costs; least weight of one query in the means over all queries.
+constexpr double kCostEwmaWeight = 0.05, kMinQueryEwmaWeight = 0.01;
+constexpr double kMaxAnswerSlowdown = 10.0;     // one answer counts as at most this slow: loads stall readers
+constexpr double kSpillTarget = 0.10;           // part of queries that may need more memory than granted
+constexpr double kMaxGrantShare = 0.2;          // part of an engine's memory that one query gets at most
+constexpr double kInitialGrantMultiple = 1.25;  // x the estimate, before anything is learned
+constexpr double kMinGrantLogStep = 0.1;        // least step of that multiple per answer, on a log scale
+// Part of an engine's slow-start allowance (rule 4) that is used; part of that for one query sent by turn.
+constexpr double kSlowStartShare = 0.5, kSlowStartMaxQueryShare = 0.2;
+constexpr int kTriedEngineRank = 100;      // added to the rank of engines tried before: after all others
+constexpr size_t kMaxCachedOrders = 4096;  // table groups whose engine order is cached
+constexpr size_t kMaxPlacementTries = 48;  // queued queries tried for an engine at one event
+constexpr std::uint64_t kTickTimer = 1, kBudgetResetTimer = 2, kQueryExpiryTimer = 3;  // timer tokens
+
+std::uint64_t mix_bits(std::uint64_t bits) {
+  bits = (bits ^ (bits >> 30)) * 0xbf58476d1ce4e5b9ULL;
+  bits = (bits ^ (bits >> 27)) * 0x94d049bb133111ebULL;
+  return bits ^ (bits >> 31);
 }
 
-std::uint64_t hash_text(const std::string& text) {
-  std::uint64_t h = 0xcbf29ce484222325ULL;
-  for (const char c : text) h = (h ^ static_cast<unsigned char>(c)) * 0x100000001b3ULL;
-  return mix(h);
+std::uint64_t hash_string(const std::string& text) {
+  std::uint64_t hash = 0xcbf29ce484222325ULL;
+  for (const char character : text) hash = (hash ^ static_cast<unsigned char>(character)) * 0x100000001b3ULL;
+  return mix_bits(hash);
 }
 
-bool never_ran(OutcomeKind k) { return k == OutcomeKind::kFull || never_sent(k); }
+bool never_ran(OutcomeKind kind) { return kind == OutcomeKind::kFull || never_sent(kind); }
 
 // --- Records ----------------------------------------------------------------------------------------------
 struct Attempt {
-  EngineEntry to;
+  EngineEntry engine;  // as listed when the attempt was sent
   TimeUs sent_at = 0;
-  TimeUs stalls = 0;    // of this gateway itself, all of them by then
-  double charge = 0;    // us of CPU taken from the budget
-  double grant_mb = 0;  // 0: left to the engine
-  bool spilled = false;
-  bool open = true;
-  bool late = false;      // overdue, though its engine may live
-  bool given_up = false;  // its engine fell silent, or it was cancelled
+  TimeUs stall_at_send = 0;  // the value of gateway_stall_ then
+  double charged_us = 0;     // CPU time taken from the tenant's budget
+  double grant_mb = 0;       // 0: left to the engine
+  bool spilled = false;      // a note said that its memory did not suffice
+  bool in_flight = true;     // no outcome yet
+  bool overdue = false;      // its engine may still work
+  bool abandoned = false;    // its engine fell silent, or it was cancelled
   OutcomeKind outcome = OutcomeKind::kOk;
 };
 
-EarlierAttempt as_earlier(const Attempt& a) {
-  const bool unsent = !a.open && never_sent(a.outcome);
-  return {a.sent_at, a.open, a.open || !never_ran(a.outcome), a.to.zone, a.to.cell, unsent};
+EarlierAttempt earlier_attempt(const Attempt& attempt) {
+  const bool unsent = !attempt.in_flight && never_sent(attempt.outcome);
+  return {attempt.sent_at,     attempt.in_flight,   attempt.in_flight || !never_ran(attempt.outcome),
+          attempt.engine.zone, attempt.engine.cell, unsent};
 }
 
-struct Held {
-  Query q;
-  TimeUs arrived = 0;
+struct TrackedQuery {  // kept until it has ended and no attempt is in flight
+  Query query;
+  TimeUs arrived_at = 0;  // when the gateway took it, before any wait outside this module
   TimeUs deadline = 0;
-  double cost = 0;     // us of CPU expected
-  double density = 0;  // worth per CPU second
-  std::uint64_t seq = 0;
+  double cpu_us = 0;           // expected CPU time
+  double value_per_cpu_s = 0;  // the class's value per expected CPU second
+  std::uint64_t sequence = 0;  // in order of arrival, from 1
   std::vector<Attempt> attempts;
-  bool ended = false;
-  bool waiting = false;     // in the holding line
-  bool redrawn = false;     // an attempt of it was cancelled for its pace
-  std::uint64_t tried = 0;  // the last events' count at which it found no place
+  bool ended = false;                 // answered, or its client is gone
+  bool queued = false;                // in the admission queue
+  bool cancelled_as_runaway = false;  // an attempt of it was cancelled for its slow progress
+  std::uint64_t unplaced_epoch = 0;   // the last capacity_epoch_ in which no engine was found for it
   int in_flight() const {
-    return static_cast<int>(std::count_if(attempts.begin(), attempts.end(), [](auto& a) { return a.open; }));
+    return static_cast<int>(
+        std::count_if(attempts.begin(), attempts.end(), [](auto& attempt) { return attempt.in_flight; }));
   }
-  AttemptCounts made() const {
-    AttemptCounts made;
-    for (const Attempt& a : attempts) ++(as_earlier(a).unsent ? made.unsent : made.sent);
-    return made;
+  AttemptCounts attempt_counts() const {
+    AttemptCounts counts;
+    for (const Attempt& attempt : attempts) ++(earlier_attempt(attempt).unsent ? counts.unsent : counts.sent);
+    return counts;
   }
 };
 
 struct Engine {
   EngineEntry entry;
-  std::uint64_t hash = 0;
-  bool listed = false;
+  std::uint64_t id_hash = 0;
+  bool listed = false;  // in service by the last list
   int cores = 1;
-  double memory_mb = 0;
-  double threads = 0;                          // this gateway's, out there now
-  double granted_mb = 0;                       // this gateway's
-  std::map<std::string, double> left;          // budget per tenant, us of CPU
-  std::map<std::int64_t, int> loads;           // this gateway's loads per table group
-  std::map<std::int64_t, TimeUs> stalled;      // table group: until when a load is known to stall readers
-  std::deque<std::pair<TimeUs, double>> sent;  // work sent while cold
-  std::set<std::pair<QueryId, int>> out;
-  double slowdown = 1, answers = 0;  // x the ideal time; how many answers tell of it, fading
-  double room = 1;                   // part of its share of memory that this gateway still finds free
-  double errors = 0;
-  TimeUs last_sign = 0;  // of life, an answer or a note, on the clock without this gateway's own stalls
-  TimeUs last_full = -kWindow;
-  std::map<int, TimeUs> closed;  // class: until when it is spared this engine, which turned it away
-  bool suspect = false;
-  TimeUs next_trial = 0;
+  double memory_mb = 0;                                // 0: unknown
+  double used_threads = 0;                             // by this gateway's attempts in flight
+  double granted_mb = 0;                               // to this gateway's attempts in flight
+  std::map<std::string, double> budget_left_us;        // by tenant: CPU time in this window; may be negative
+  std::map<std::int64_t, int> loads_in_flight;         // by table group: this gateway's load queries
+  std::map<std::int64_t, TimeUs> group_stalled_until;  // by table group: until then a load stalls it
+  std::deque<std::pair<TimeUs, double>> slow_start_sends;  // in slow start: when, expected CPU us
+  std::set<std::pair<QueryId, int>> attempts;              // in flight: query, index of the attempt
+  double slowdown = 1, sample_count = 0;  // x the ideal time; answers that it rests on, decaying
+  double usable_memory_share = 1;         // of this gateway's part of the memory; the rest seems taken
+  double error_rate = 0;                  // moving average, 0 to 1
+  TimeUs last_heard_at = 0;  // last answer or note, on a clock that leaves out this gateway's own stalls
+  TimeUs memory_pressure_at = -kBudgetWindow;  // last "full" answer or wait for memory
+  std::map<int, TimeUs> closed_until;          // by class: no queries until then, as it answered "full"
+  bool suspect = false;                        // gets trial queries only
+  TimeUs next_trial_at = 0;
 };
 
-struct Learned {
-  double told = 0, estimated = 0;  // decayed sums: how far estimates of cost are off
-  double mean = 0;                 // us of CPU; 0: nothing learned yet
-  double slow = 1;                 // x the ideal time that answers take
-  double base = 0;                 // where costs are not told: latency x threads per estimate when calm
-  double grant = kGrantStart, grants = 0;  // multiple of the estimate; how often it was learned
+struct ClassStats {
+  double actual_us = 0, estimated_us = 0;  // moving averages of CPU time; their ratio corrects estimates
+  double mean_us = 0;                      // CPU time; 0: nothing learned yet
+  double slowdown = 1;                     // x the ideal time that answers take
+  double calm_ratio = 0;                   // no cost reported: latency x threads per estimate when calm
+  double grant_multiple = kInitialGrantMultiple, grant_samples = 0;  // x the estimate; answers learned from
 };
 
-struct Pool {  // sums over the listed engines, lest each query cost a pass over the fleet
+struct EngineTotals {  // sums over the listed engines, so that no query costs a pass over the fleet
   double engines = 0, cores = 0, memory_mb = 0;
-  double threads = 0, granted_mb = 0;  // this gateway's, out there now
-  double slowdown = 1;                 // mean over the answers of all engines
+  double used_threads = 0, granted_mb = 0;  // by this gateway's attempts in flight
+  double mean_slowdown = 1;                 // moving average over the answers of all engines
 };
 
 class WorkloadBudget final : public DecisionModule {
  public:
   explicit WorkloadBudget(const Settings& settings)
-      : s_(settings), share_(1.0 / s_.gateways), learned_(s_.classes.size()) {
-    if (s_.gateways < 1 || s_.classes.empty()) throw std::invalid_argument("no gateways or no classes");
-    for (const auto& c : s_.classes) {
-      if (c.threads < 1 || c.deadline <= 0) throw std::invalid_argument("class without threads or deadline");
-      // No deployment asks for order now; rather no start than rule 5 broken unseen.
-      if (c.in_order) throw std::invalid_argument("class " + c.name + " asks for order, which is not kept");
+      : settings_(settings), share_(1.0 / settings_.gateways), stats_(settings_.classes.size()) {
+    if (settings_.gateways < 1 || settings_.classes.empty())
+      throw std::invalid_argument("no gateways or no classes");
+    for (const auto& query_class : settings_.classes) {
+      if (query_class.threads < 1 || query_class.deadline <= 0)
+        throw std::invalid_argument("class without threads or deadline");
+      // No deployment asks for order (rule 5) now: refused at the start rather than broken unnoticed.
+      if (query_class.in_order)
+        throw std::invalid_argument("class " + query_class.name + " asks for order, which is not kept");
     }
-    for (const auto& t : s_.tenants) quota_ += t.quota_per_s;
+    for (const auto& tenant : settings_.tenants) quota_per_s_ += tenant.quota_per_s;
   }
 
-  // --- Listing --------------------------------------------------------------------------------------------
+  // --- Engine list ----------------------------------------------------------------------------------------
   void on_engines(TimeUs now, ListKind kind, const std::vector<EngineEntry>& entries,
                   ActionSink& sink) override {
-    start(now, sink);
-    if (kind == ListKind::kError && s_.must_ask_discovery) ask_again_ = now + 1'000 * kMs;
+    ensure_started(now, sink);
+    if (kind == ListKind::kError && settings_.must_ask_discovery) resubscribe_at_ = now + 1'000 * kMs;
     if (kind == ListKind::kError) return;
     if (kind != ListKind::kDelta)
-      for (auto& [id, e] : engines_) e.listed = false;
+      for (auto& [id, engine] : engines_) engine.listed = false;
     for (const auto& entry : entries) {
-      Engine& e = engines_[entry.id];
-      if (!e.entry.id.empty() && e.entry.started_at != entry.started_at) clear_suspicion(e), e.slowdown = 1;
-      e.entry = entry;
-      e.hash = hash_text(entry.id);
-      e.listed = entry.state == EngineState::kInService;
-      for (const auto& k : s_.kinds)
-        if (k.name == entry.kind) e.cores = std::max(1, k.cores), e.memory_mb = k.memory_mb;
+      Engine& engine = engines_[entry.id];
+      if (!engine.entry.id.empty() && engine.entry.started_at != entry.started_at)
+        clear_suspicion(engine), engine.slowdown = 1;
+      engine.entry = entry;
+      engine.id_hash = hash_string(entry.id);
+      engine.listed = entry.state == EngineState::kInService;
+      for (const auto& machine : settings_.kinds)
+        if (machine.name == entry.kind)
+          engine.cores = std::max(1, machine.cores), engine.memory_mb = machine.memory_mb;
     }
-    std::erase_if(engines_, [](const auto& p) { return !p.second.listed && p.second.out.empty(); });
-    orders_.clear();
-    pool_.engines = pool_.cores = pool_.memory_mb = 0;
-    for (const auto& [id, e] : engines_) {
-      pool_.engines += e.listed;
-      pool_.cores += e.listed * e.cores;
-      pool_.memory_mb += e.listed * e.memory_mb;
+    std::erase_if(engines_,
+                  [](const auto& item) { return !item.second.listed && item.second.attempts.empty(); });
+    engine_orders_.clear();
+    totals_.engines = totals_.cores = totals_.memory_mb = 0;
+    for (const auto& [id, engine] : engines_) {
+      totals_.engines += engine.listed;
+      totals_.cores += engine.listed * engine.cores;
+      totals_.memory_mb += engine.listed * engine.memory_mb;
     }
-    pump(now, sink);
+    place_queued(now, sink);
   }
 
   // --- Events ---------------------------------------------------------------------------------------------
-  void on_query(TimeUs now, const Query& q, ActionSink& sink) override {
-    start(now, sink);
+  void on_query(TimeUs now, const Query& query, ActionSink& sink) override {
+    ensure_started(now, sink);
     arrivals_.push_back(now);
-    // Guards against a ration over too late a window: one that waited before counts as no query taken now.
-    if (s_.rules.attempts_rationed && q.waited == 0) taken_.push_back(now);
-    const ClassSettings& c = s_.classes.at(static_cast<size_t>(q.class_index));
-    Held& h = queries_[q.id];
-    h.q = q;
-    h.arrived = now - q.waited;
-    h.deadline = now + std::min(q.time_budget, c.deadline);
-    h.seq = ++seq_;
-    h.cost = expected_cost(q);
-    h.density = c.value / std::max(h.cost, 1.0) * 1e6;
-    const double w = std::max(kMeanWeight, 1.0 / static_cast<double>(seq_));
-    mean_value_ += w * (c.value - mean_value_);
-    mean_work_ += w * (h.cost - mean_work_);
-    hold(h);
-    pump(now, sink, false);
-    if (const auto it = queries_.find(q.id); it != queries_.end() && it->second.waiting)
-      sink.set_timer(std::max<TimeUs>(give_up_at(it->second) - now, 1), kTokenWake);
-  }
-
-  void on_outcome(TimeUs now, const Outcome& o, ActionSink& sink) override {
-    const auto it = queries_.find(o.query);
-    if (it == queries_.end() || o.attempt < 0 || o.attempt >= static_cast<int>(it->second.attempts.size()))
+    // Guards against a retry budget over too late a window: a query that waited before is not new now.
+    if (settings_.rules.attempts_rationed && query.waited == 0) query_times_.push_back(now);
+    const ClassSettings& query_class = settings_.classes.at(static_cast<size_t>(query.class_index));
+    TrackedQuery& tracked = queries_[query.id];
+    tracked.query = query;
+    tracked.arrived_at = now - query.waited;
+    tracked.deadline = now + std::min(query.time_budget, query_class.deadline);
+    tracked.sequence = ++last_sequence_;
+    tracked.cpu_us = expected_cpu_us(query);
+    tracked.value_per_cpu_s = query_class.value / std::max(tracked.cpu_us, 1.0) * 1e6;
+    const double weight = std::max(kMinQueryEwmaWeight, 1.0 / static_cast<double>(last_sequence_));
+    mean_value_ += weight * (query_class.value - mean_value_);
+    mean_cpu_us_ += weight * (tracked.cpu_us - mean_cpu_us_);
+    enqueue(tracked);
+    place_queued(now, sink, false);
+    if (const auto it = queries_.find(query.id); it != queries_.end() && it->second.queued)
+      sink.set_timer(std::max<TimeUs>(give_up_at(it->second) - now, 1), kQueryExpiryTimer);
+  }
+
+  void on_outcome(TimeUs now, const Outcome& outcome, ActionSink& sink) override {
+    const auto it = queries_.find(outcome.query);
+    if (it == queries_.end() || outcome.attempt < 0 ||
+        outcome.attempt >= static_cast<int>(it->second.attempts.size()))
       return;
-    Held& h = it->second;
-    Attempt& a = h.attempts[static_cast<size_t>(o.attempt)];
-    if (!a.open) return;
-    note_own_stall(now);
-    a.open = false;
-    a.outcome = o.kind;
-    settle(h, a, o);
-    if (o.attempt > 0) give_back_ration(a);
-    judge(now, a, o);
-    if (o.ended) end(h);
-    if (o.ended && h.q.limits) cancel_open(h, sink);  // the copy that lost
-    if (!h.ended) next_step(now, h, sink);
-    forget_if_over(o.query);
-    pump(now, sink);
-  }
-
-  void on_note(TimeUs now, const Note& n, ActionSink& sink) override {
-    const auto it = queries_.find(n.query);
-    if (it == queries_.end() || n.attempt < 0 || n.attempt >= static_cast<int>(it->second.attempts.size()))
+    TrackedQuery& tracked = it->second;
+    Attempt& attempt = tracked.attempts[static_cast<size_t>(outcome.attempt)];
+    if (!attempt.in_flight) return;
+    record_gateway_stall(now);
+    attempt.in_flight = false;
+    attempt.outcome = outcome.kind;
+    apply_outcome(tracked, attempt, outcome);
+    if (outcome.attempt > 0) refund_retry_budget(attempt);
+    update_engine_health(now, attempt, outcome);
+    if (outcome.ended) mark_ended(tracked);
+    if (outcome.ended && tracked.query.limits) cancel_in_flight(tracked, sink);  // the slower copy
+    if (!tracked.ended) retry_or_answer(now, tracked, sink);
+    erase_if_finished(outcome.query);
+    place_queued(now, sink);
+  }
+
+  void on_note(TimeUs now, const Note& note, ActionSink& sink) override {
+    const auto it = queries_.find(note.query);
+    if (it == queries_.end() || note.attempt < 0 ||
+        note.attempt >= static_cast<int>(it->second.attempts.size()))
       return;
-    Held& h = it->second;
-    Attempt& a = h.attempts[static_cast<size_t>(n.attempt)];
-    if (!a.open) return;
-    note_own_stall(now);
-    Engine& e = engines_.at(a.to.id);
-    e.last_sign = now - stalls_;
-    if (e.suspect && e.errors < kErrorShare) clear_suspicion(e);
-    if (n.kind == NoteKind::kSpill && !a.spilled) {
-      a.spilled = true;  // where memory is told, or what is short is shared out, the answer teaches instead
-      if (!s_.tells_cost && s_.when_short != WhenShort::kShrink) learn_grant(learned(h), a, true);
+    TrackedQuery& tracked = it->second;
+    Attempt& attempt = tracked.attempts[static_cast<size_t>(note.attempt)];
+    if (!attempt.in_flight) return;
+    record_gateway_stall(now);
+    Engine& engine = engines_.at(attempt.engine.id);
+    engine.last_heard_at = now - gateway_stall_;
+    if (engine.suspect && engine.error_rate < kSuspectErrorRate) clear_suspicion(engine);
+    if (note.kind == NoteKind::kSpill && !attempt.spilled) {
+      attempt.spilled = true;
+      // Where engines report memory used, or shrink grants when short, the answer updates the grant instead.
+      if (!settings_.tells_cost && settings_.when_short != WhenShort::kShrink)
+        update_grant_multiple(stats_of(tracked), attempt, true);
     }
-    if (n.kind == NoteKind::kWait && n.value >= 2)
-      e.stalled[h.q.table_group] = now + 2 * std::max(s_.progress_interval, kTick);
-    if (n.kind == NoteKind::kWait && n.value < 2) crowd(e, now);
-    if (n.kind == NoteKind::kProgress && runaway(h, a, n.value, now))
-      h.redrawn = true, sink.cancel(h.q.id, n.attempt);
-    if (n.kind != NoteKind::kProgress) pump(now, sink);  // progress frees nothing; the tick places soon
+    if (note.kind == NoteKind::kWait && note.value >= 2)
+      engine.group_stalled_until[tracked.query.table_group] =
+          now + 2 * std::max(settings_.progress_interval, kTickPeriod);
+    if (note.kind == NoteKind::kWait && note.value < 2) record_memory_wait(engine, now);
+    if (note.kind == NoteKind::kProgress && is_runaway(tracked, attempt, note.value, now))
+      tracked.cancelled_as_runaway = true, sink.cancel(tracked.query.id, note.attempt);
+    if (note.kind != NoteKind::kProgress) place_queued(now, sink);  // progress frees nothing; the tick places
   }
 
-  void on_stream_started(TimeUs, QueryId, const EngineId&, ActionSink&) override {}  // no class streams yet
+  void on_stream_started(TimeUs, QueryId, const EngineId&, ActionSink&) override {}  // no class streams
 
   void on_client_gone(TimeUs now, QueryId id, ActionSink& sink) override {
     const auto it = queries_.find(id);
     if (it == queries_.end()) return;
-    end(it->second);
-    cancel_open(it->second, sink);
-    forget_if_over(id);
-    pump(now, sink);
+    mark_ended(it->second);
+    cancel_in_flight(it->second, sink);
+    erase_if_finished(id);
+    place_queued(now, sink);
   }
 
   void on_probe(TimeUs, const EngineId&, bool, const LoadReport&, ActionSink&) override {}
 
-  void on_peer(TimeUs, int, const std::string&, ActionSink&) override {}  // no peers to hear
+  void on_peer(TimeUs, int, const std::string&, ActionSink&) override {}  // gateways do not talk
 
-  // A fleet changes only which share this gateway has; a window's budgets stay as they were dealt.
+  // Changes only this gateway's share from now on; budgets already opened in this window stay as they are.
   void on_share(TimeUs now, const FleetShare& share, ActionSink& sink) override {
     fleet_ = share;
-    update_share(now);
-    pump(now, sink);
+    update_gateway_share(now);
+    place_queued(now, sink);
   }
 
   void on_timer(TimeUs now, std::uint64_t token, ActionSink& sink) override {
-    note_own_stall(now);
-    if (token == kTokenReset) {
-      ++window_;
-      reset_at_ = now;
-      for (auto& [id, e] : engines_) e.left.clear();
-      sink.set_timer(kWindow, kTokenReset);
+    record_gateway_stall(now);
+    if (token == kBudgetResetTimer) {
+      ++window_number_;
+      last_reset_at_ = now;
+      for (auto& [id, engine] : engines_) engine.budget_left_us.clear();
+      sink.set_timer(kBudgetWindow, kBudgetResetTimer);
     }
-    if (token == kTokenTick) {
-      set_tick(now, sink);
-      update_share(now);
-      for (auto& [id, e] : engines_) {
-        if (now - e.last_full > kFullMemory) e.room = std::min(1.0, e.room + kCrowdBack);
-        e.slowdown += kCrowdBack * (pool_.slowdown - e.slowdown);
-        e.answers *= 1 - kCrowdBack;
-        std::erase_if(e.stalled, [&](const auto& p) { return p.second <= now; });
+    if (token == kTickTimer) {
+      schedule_tick(now, sink);
+      update_gateway_share(now);
+      for (auto& [id, engine] : engines_) {
+        if (now - engine.memory_pressure_at > kMemoryPressureTime)
+          engine.usable_memory_share = std::min(1.0, engine.usable_memory_share + kRecoveryPerTick);
+        engine.slowdown += kRecoveryPerTick * (totals_.mean_slowdown - engine.slowdown);
+        engine.sample_count *= 1 - kRecoveryPerTick;
+        std::erase_if(engine.group_stalled_until, [&](const auto& item) { return item.second <= now; });
       }
-      watch_silence(now, sink);
+      check_overdue_attempts(now, sink);
     }
-    if (ask_again_ > 0 && now >= ask_again_) ask_again_ = 0, sink.subscribe();
-    expire(now, sink);
-    pump(now, sink, token != kTokenWake);  // a query's own wake frees nothing
+    if (resubscribe_at_ > 0 && now >= resubscribe_at_) resubscribe_at_ = 0, sink.subscribe();
+    expire_queued(now, sink);
+    place_queued(now, sink, token != kQueryExpiryTimer);  // an expiry frees nothing
   }
 
  private:
-  void set_tick(TimeUs now, ActionSink& sink) {
-    tick_due_ = now + kTick;
-    sink.set_timer(kTick, kTokenTick);
+  void schedule_tick(TimeUs now, ActionSink& sink) {
+    next_tick_at_ = now + kTickPeriod;
+    sink.set_timer(kTickPeriod, kTickTimer);
   }
 
-  // Guards against a gateway that was starved of CPU and then shut all its engines at once, for answers that
-  // lay ready unread: while its tick is overdue it heard nobody, and no engine is late by that.
-  void note_own_stall(TimeUs now) {
-    if (now - tick_due_ <= kTick) return;
-    stalls_ += now - tick_due_;
-    tick_due_ = now;
+  // Guards against a gateway that was starved of CPU and then suspected all its engines at once, over answers
+  // that had arrived but were unread: time by which its own tick is late counts against no engine.
+  void record_gateway_stall(TimeUs now) {
+    if (now - next_tick_at_ <= kTickPeriod) return;
+    gateway_stall_ += now - next_tick_at_;
+    next_tick_at_ = now;
   }
 
-  void start(TimeUs now, ActionSink& sink) {
-    if (started_) return note_own_stall(now);
+  void ensure_started(TimeUs now, ActionSink& sink) {
+    if (started_) return record_gateway_stall(now);
     started_ = true;
     started_at_ = now;
-    reset_at_ = now - kWindow + kWindow * (s_.self + 1) / s_.gateways;
-    set_tick(now, sink);
-    sink.set_timer(kWindow * (s_.self + 1) / s_.gateways, kTokenReset);  // not all at once
-    if (s_.must_ask_discovery) sink.subscribe();
+    last_reset_at_ = now - kBudgetWindow + kBudgetWindow * (settings_.self + 1) / settings_.gateways;
+    schedule_tick(now, sink);
+    // Gateways reset at different moments: queued queries must not rush to the same engines at once.
+    sink.set_timer(kBudgetWindow * (settings_.self + 1) / settings_.gateways, kBudgetResetTimer);
+    if (settings_.must_ask_discovery) sink.subscribe();
   }
 
-  const ClassSettings& cls(const Held& h) const { return s_.classes[static_cast<size_t>(h.q.class_index)]; }
-  Learned& learned(const Held& h) { return learned_[static_cast<size_t>(h.q.class_index)]; }
+  const ClassSettings& class_of(const TrackedQuery& tracked) const {
+    return settings_.classes[static_cast<size_t>(tracked.query.class_index)];
+  }
+  ClassStats& stats_of(const TrackedQuery& tracked) {
+    return stats_[static_cast<size_t>(tracked.query.class_index)];
+  }
 
   // --- Learned costs --------------------------------------------------------------------------------------
-  double expected_cost(const Query& q) const {
-    const auto c = static_cast<size_t>(q.class_index);
-    const Learned& l = learned_[c];
-    const double bias = l.estimated > 0 ? l.told / l.estimated : 1.0;
-    if (q.cost_estimate > 0) return static_cast<double>(q.cost_estimate) * bias;
-    return l.mean > 0 ? l.mean : static_cast<double>(s_.classes[c].aim) * 0.5;
-  }
-
-  // Without grants, where the engine lets all in and slows all once memory is over (page), the estimate of
-  // memory is counted as a grant would be: the design's "memory may be checked likewise".
-  bool counts_memory() const { return s_.grants || s_.when_short == WhenShort::kPage; }
-  double wanted_mb(const Held& h) { return h.q.memory_mb * (s_.grants ? learned(h).grant : 1.0); }
-
-  double grant_for(const Held& h, const Engine& e) {
-    if (!counts_memory() || h.q.memory_mb <= 0) return 0;
-    if (!s_.grants) return wanted_mb(h);
-    const double most = std::min(s_.max_grant_share, kGrantMost);
-    return e.memory_mb > 0 ? std::min(wanted_mb(h), e.memory_mb * most) : wanted_mb(h);
-  }
-
-  // The grant tends to what all but a few need; first steps are long, as estimates may be far too low.
-  void learn_grant(Learned& l, const Attempt& a, bool spilled) {
-    if (a.grant_mb <= 0 || !s_.grants) return;
-    const double step = std::max(kGrantStep, 1.0 / (2.0 + l.grants++));
-    l.grant = std::clamp(l.grant * std::exp(step * (spilled ? 1 - kGrantSpill : -kGrantSpill)), 0.1, 10.0);
-  }
-
-  // An answer corrects its charge and teaches costs, memory and the engine's slowdown.
-  void settle(const Held& h, Attempt& a, const Outcome& o) {
-    Engine& e = engines_.at(a.to.id);  // kept while anything is out there
-    const ClassSettings& c = cls(h);
-    const TimeUs latency = std::max<TimeUs>(o.latency - (stalls_ - a.stalls), 0);
-    const double spent = o.told_cost && o.kind == OutcomeKind::kOk ? static_cast<double>(*o.told_cost)
-                                                                   : static_cast<double>(latency * c.threads);
-    pool_.threads -= c.threads;
-    pool_.granted_mb -= a.grant_mb;
-    e.threads -= c.threads;
-    e.granted_mb -= a.grant_mb;
-    if (c.load && --e.loads[h.q.table_group] <= 0) e.loads.erase(h.q.table_group);
-    e.out.erase({h.q.id, static_cast<int>(&a - h.attempts.data())});
-    if (o.kind != OutcomeKind::kTimeout && o.kind != OutcomeKind::kCancelled)
-      e.left[h.q.tenant] +=
-          a.charge - (never_ran(o.kind) ? 0.0 : spent);  // after a reset: no fresh slice here
-    if (o.kind != OutcomeKind::kOk) return;
-    Learned& l = learned(h);
-    const double estimate = static_cast<double>(h.q.cost_estimate);
-    double slow = 0, told = spent;
-    if (o.told_cost) {
-      slow = static_cast<double>(latency * c.threads) / std::max(spent, 1.0);
-    } else if (estimate > 0) {
-      const double ratio = spent / estimate;
-      if (l.base <= 0) l.base = ratio;
-      // The calm median: answers slower than the pressure line hardly move it, or a jam would pass for calm.
-      l.base *= std::exp(kLearnWeight * (ratio < l.base ? -0.5 : ratio < kPressure * l.base ? 0.5 : 0.03));
-      told = l.base * estimate;
-      slow = ratio / l.base;
+  double expected_cpu_us(const Query& query) const {
+    const auto class_index = static_cast<size_t>(query.class_index);
+    const ClassStats& stats = stats_[class_index];
+    const double bias = stats.estimated_us > 0 ? stats.actual_us / stats.estimated_us : 1.0;
+    if (query.cost_estimate > 0) return static_cast<double>(query.cost_estimate) * bias;
+    return stats.mean_us > 0 ? stats.mean_us : static_cast<double>(settings_.classes[class_index].aim) * 0.5;
+  }
+
+  // Engines that page grant nothing: they let every query in and slow all of them once memory is used up.
+  // There the estimate of memory is counted as a grant would be (DESIGN: "memory may be checked likewise").
+  bool counts_memory() const { return settings_.grants || settings_.when_short == WhenShort::kPage; }
+  double wanted_memory_mb(const TrackedQuery& tracked) {
+    return tracked.query.memory_mb * (settings_.grants ? stats_of(tracked).grant_multiple : 1.0);
+  }
+
+  double grant_mb_for(const TrackedQuery& tracked, const Engine& engine) {
+    if (!counts_memory() || tracked.query.memory_mb <= 0) return 0;
+    if (!settings_.grants) return wanted_memory_mb(tracked);
+    const double max_share = std::min(settings_.max_grant_share, kMaxGrantShare);
+    return engine.memory_mb > 0 ? std::min(wanted_memory_mb(tracked), engine.memory_mb * max_share)
+                                : wanted_memory_mb(tracked);
+  }
+
+  // Moves the multiple towards what all but kSpillTarget of the queries need; the first steps are long, as
+  // estimates may be far too low.
+  void update_grant_multiple(ClassStats& stats, const Attempt& attempt, bool spilled) {
+    if (attempt.grant_mb <= 0 || !settings_.grants) return;
+    const double log_step = std::max(kMinGrantLogStep, 1.0 / (2.0 + stats.grant_samples++));
+    stats.grant_multiple = std::clamp(
+        stats.grant_multiple * std::exp(log_step * (spilled ? 1 - kSpillTarget : -kSpillTarget)), 0.1, 10.0);
+  }
+
+  // Releases what the attempt used, corrects its charge, and learns costs, memory and the engine's slowdown.
+  void apply_outcome(const TrackedQuery& tracked, Attempt& attempt, const Outcome& outcome) {
+    Engine& engine = engines_.at(attempt.engine.id);  // kept while it has attempts in flight
+    const ClassSettings& query_class = class_of(tracked);
+    const TimeUs latency = std::max<TimeUs>(outcome.latency - (gateway_stall_ - attempt.stall_at_send), 0);
+    const double spent_us = outcome.told_cost && outcome.kind == OutcomeKind::kOk
+                                ? static_cast<double>(*outcome.told_cost)
+                                : static_cast<double>(latency * query_class.threads);
+    totals_.used_threads -= query_class.threads;
+    totals_.granted_mb -= attempt.grant_mb;
+    engine.used_threads -= query_class.threads;
+    engine.granted_mb -= attempt.grant_mb;
+    if (query_class.load && --engine.loads_in_flight[tracked.query.table_group] <= 0)
+      engine.loads_in_flight.erase(tracked.query.table_group);
+    engine.attempts.erase({tracked.query.id, static_cast<int>(&attempt - tracked.attempts.data())});
+    // Opens no new slice after a reset: what outlives its window was charged too little.
+    if (outcome.kind != OutcomeKind::kTimeout && outcome.kind != OutcomeKind::kCancelled)
+      engine.budget_left_us[tracked.query.tenant] +=
+          attempt.charged_us - (never_ran(outcome.kind) ? 0.0 : spent_us);
+    if (outcome.kind != OutcomeKind::kOk) return;
+    ClassStats& stats = stats_of(tracked);
+    const double estimate_us = static_cast<double>(tracked.query.cost_estimate);
+    double slowdown = 0, actual_us = spent_us;
+    if (outcome.told_cost) {
+      slowdown = static_cast<double>(latency * query_class.threads) / std::max(spent_us, 1.0);
+    } else if (estimate_us > 0) {
+      const double ratio = spent_us / estimate_us;
+      if (stats.calm_ratio <= 0) stats.calm_ratio = ratio;
+      // Median without pressure: slower answers hardly move it, or a jam would pass for the normal state.
+      stats.calm_ratio *= std::exp(kCostEwmaWeight * (ratio < stats.calm_ratio                       ? -0.5
+                                                      : ratio < kPressureSlowdown * stats.calm_ratio ? 0.5
+                                                                                                     : 0.03));
+      actual_us = stats.calm_ratio * estimate_us;
+      slowdown = ratio / stats.calm_ratio;
     }
-    if (estimate > 0) {
-      l.told += kLearnWeight * (told - l.told);
-      l.estimated += kLearnWeight * (estimate - l.estimated);
+    if (estimate_us > 0) {
+      stats.actual_us += kCostEwmaWeight * (actual_us - stats.actual_us);
+      stats.estimated_us += kCostEwmaWeight * (estimate_us - stats.estimated_us);
     }
-    l.mean += (l.mean > 0 ? kLearnWeight : 1) * (spent - l.mean);
-    slow = std::min(slow, kSlowMost);
-    if (slow > 0) l.slow += kLearnWeight * (slow - l.slow);
-    if (slow > 0 && !c.load) {
-      pool_.slowdown += kLearnWeight * (slow - pool_.slowdown);
-      learn_slowdown(e, slow);
+    stats.mean_us += (stats.mean_us > 0 ? kCostEwmaWeight : 1) * (spent_us - stats.mean_us);
+    slowdown = std::min(slowdown, kMaxAnswerSlowdown);
+    if (slowdown > 0) stats.slowdown += kCostEwmaWeight * (slowdown - stats.slowdown);
+    if (slowdown > 0 && !query_class.load) {
+      totals_.mean_slowdown += kCostEwmaWeight * (slowdown - totals_.mean_slowdown);
+      update_slowdown(engine, slowdown);
     }
-    if (o.told_memory_mb || !a.spilled) learn_grant(l, a, o.told_memory_mb.value_or(0) > a.grant_mb);
+    if (outcome.told_memory_mb || !attempt.spilled)
+      update_grant_multiple(stats, attempt, outcome.told_memory_mb.value_or(0) > attempt.grant_mb);
   }
 
-  // Hundreds of gateways each see an engine once in seconds: the first answer counts in full, more ever less.
-  static void learn_slowdown(Engine& e, double slow) {
-    e.answers += 1;
-    e.slowdown += std::max(kEngineWeight, 1 / e.answers) * (slow - e.slowdown);
+  // Hundreds of gateways each hear an engine once in seconds: the first answer counts in full, later ones
+  // less.
+  static void update_slowdown(Engine& engine, double slowdown) {
+    engine.sample_count += 1;
+    engine.slowdown += std::max(kEngineEwmaWeight, 1 / engine.sample_count) * (slowdown - engine.slowdown);
   }
 
-  // --- Budget ledger --------------------------------------------------------------------------------------
-  // Even (DESIGN); a gateway that takes more than an even part of the tenants' quotas has that part instead.
-  void update_share(TimeUs now) {
-    while (!arrivals_.empty() && arrivals_.front() < now - kWindow) arrivals_.pop_front();
+  // --- CPU budgets ----------------------------------------------------------------------------------------
+  // An even share (DESIGN); where this gateway gets a larger part of the tenants' quotas, that part instead.
+  void update_gateway_share(TimeUs now) {
+    while (!arrivals_.empty() && arrivals_.front() < now - kBudgetWindow) arrivals_.pop_front();
     if (fleet_) return void(share_ = fleet_->bounds);
-    const TimeUs seen = std::clamp<TimeUs>(now - started_at_, 1'000 * kMs, kWindow);
-    const double rate = static_cast<double>(arrivals_.size()) * 1e6 / static_cast<double>(seen);
-    share_ = std::clamp(quota_ > 0 ? rate / quota_ : 0.0, 1.0 / s_.gateways, 1.0);
+    const TimeUs observed = std::clamp<TimeUs>(now - started_at_, 1'000 * kMs, kBudgetWindow);
+    const double queries_per_s = static_cast<double>(arrivals_.size()) * 1e6 / static_cast<double>(observed);
+    share_ = std::clamp(quota_per_s_ > 0 ? queries_per_s / quota_per_s_ : 0.0, 1.0 / settings_.gateways, 1.0);
   }
 
-  double slice(const Engine& e, const std::string& tenant) const {
-    const double tenants = static_cast<double>(std::max<size_t>(s_.tenants.size(), 1));
-    double share = share_;
-    for (size_t t = 0; fleet_ && t < s_.tenants.size(); ++t)
-      if (s_.tenants[t].name == tenant) share = fleet_->budgets.at(t);
-    return e.cores * static_cast<double>(kWindow) * share / tenants;
+  // CPU time that this gateway may use for the tenant on the engine in one window.
+  double budget_slice_us(const Engine& engine, const std::string& tenant) const {
+    const double tenant_count = static_cast<double>(std::max<size_t>(settings_.tenants.size(), 1));
+    double tenant_share = share_;
+    for (size_t index = 0; fleet_ && index < settings_.tenants.size(); ++index)
+      if (settings_.tenants[index].name == tenant) tenant_share = fleet_->budgets.at(index);
+    return engine.cores * static_cast<double>(kBudgetWindow) * tenant_share / tenant_count;
   }
 
-  double& budget(Engine& e, const std::string& tenant) {
-    const auto [it, fresh] = e.left.try_emplace(tenant, 0.0);
-    if (fresh) it->second = slice(e, tenant);
+  // CPU time left of the slice, which the first use in a window opens.
+  double& budget_left(Engine& engine, const std::string& tenant) {
+    const auto [it, inserted] = engine.budget_left_us.try_emplace(tenant, 0.0);
+    if (inserted) it->second = budget_slice_us(engine, tenant);
     return it->second;
   }
 
-  // This gateway's place, 0 to 1, in the line that all gateways form for an engine in a window, each at its
-  // own.
-  double turn_at(const Engine& e, std::uint64_t window) const {
-    const double place = static_cast<double>(mix(e.hash ^ mix(window)) >> 11) * 0x1p-53 +
-                         (fleet_ && fleet_->live > 0 ? static_cast<double>(fleet_->place) / fleet_->live
-                                                     : static_cast<double>(s_.self) / s_.gateways);
-    return place - std::floor(place);
+  // This gateway's position, 0 to 1, in an engine's order of all gateways in a window; each has its own.
+  double turn_place(const Engine& engine, std::uint64_t window) const {
+    const double position =
+        static_cast<double>(mix_bits(engine.id_hash ^ mix_bits(window)) >> 11) * 0x1p-53 +
+        (fleet_ && fleet_->live > 0 ? static_cast<double>(fleet_->place) / fleet_->live
+                                    : static_cast<double>(settings_.self) / settings_.gateways);
+    return position - std::floor(position);
   }
 
   // Guards against slices below one charge (DESIGN's weak point): each would let one query through, all at
-  // the group's home. Such slices are dealt whole: of all gateways, the part slice / charge has its turn at
-  // an engine in a window. 0: its turn; else how often the slice must double before it is; hot engines'
-  // slices shrink.
-  int out_of_turn(const Held& h, Engine& e) {
-    if (h.q.tenant.empty()) return 0;
-    const double left = budget(e, h.q.tenant);
-    const double all = slice(e, h.q.tenant);
-    if (all <= 0) return kTriedRank - 1;  // a fleet leaves its tenant nothing: no doubling reaches a turn
-    const double heat = std::max(1.0, e.slowdown / (kHot * pool_.slowdown));
-    const double turn = left < all ? 1.0 : turn_at(e, window_);
-    const double ratio = heat * heat * (h.cost <= all ? 1.0 : turn * (h.cost + all - left) / all);
-    return ratio <= 1 ? 0 : std::ilogb(ratio) + 1;
+  // the first engine of the group's order. Such slices are given out whole by turn: in a window, the part
+  // slice / charge of all gateways has its turn at an engine. Returns 0 if it is the turn, else how often
+  // the slice would have to double for that. Hot engines' slices shrink.
+  int turn_rank(const TrackedQuery& tracked, Engine& engine) {
+    if (tracked.query.tenant.empty()) return 0;
+    const double left_us = budget_left(engine, tracked.query.tenant);
+    const double slice_us = budget_slice_us(engine, tracked.query.tenant);
+    if (slice_us <= 0) return kTriedEngineRank - 1;  // the fleet leaves the tenant nothing: no doubling helps
+    const double heat_factor = std::max(1.0, engine.slowdown / (kHotSlowdownRatio * totals_.mean_slowdown));
+    const double turn = left_us < slice_us ? 1.0 : turn_place(engine, window_number_);
+    const double required_growth =
+        heat_factor * heat_factor *
+        (tracked.cpu_us <= slice_us ? 1.0 : turn * (tracked.cpu_us + slice_us - left_us) / slice_us);
+    return required_growth <= 1 ? 0 : std::ilogb(required_growth) + 1;
   }
 
   // --- Routing --------------------------------------------------------------------------------------------
-  // Rendezvous order of the table group: the same at every gateway, stable as engines come and go. Kept until
-  // the list changes, lest each query cost a ranking of the whole fleet.
-  const std::vector<Engine*>& walk_order(std::int64_t group, bool load) {
-    if (orders_.size() > kOrdersMost) orders_.clear();
-    std::vector<Engine*>& order = orders_[{group, load}];
+  // Rendezvous order of the engines for a table group: the same at every gateway, stable as engines come and
+  // go. Cached until the list changes, so that no query costs a ranking of the whole fleet.
+  const std::vector<Engine*>& engine_order(std::int64_t group, bool load) {
+    if (engine_orders_.size() > kMaxCachedOrders) engine_orders_.clear();
+    std::vector<Engine*>& order = engine_orders_[{group, load}];
     if (!order.empty()) return order;
-    for (auto& [id, e] : engines_)
-      if (e.listed) order.push_back(&e);
-    const std::uint64_t salt = mix(static_cast<std::uint64_t>(group) + 1);
-    std::stable_sort(order.begin(), order.end(), [salt](const Engine* a, const Engine* b) {
-      return mix(a->hash ^ salt) < mix(b->hash ^ salt);
+    for (auto& [id, engine] : engines_)
+      if (engine.listed) order.push_back(&engine);
+    const std::uint64_t salt = mix_bits(static_cast<std::uint64_t>(group) + 1);
+    std::stable_sort(order.begin(), order.end(), [salt](const Engine* left, const Engine* right) {
+      return mix_bits(left->id_hash ^ salt) < mix_bits(right->id_hash ^ salt);
     });
-    // Readers stand still where a load holds their group: it keeps to the far half of the order, away from
-    // their home, and each gateway starts at a place of its own there.
+    // Readers stall where a load holds their table group: loads go to the second half of the order, away from
+    // the readers' engines, and each gateway starts at another engine there.
     if (load && order.size() > 1) {
       std::reverse(order.begin(), order.end());
       order.resize((order.size() + 1) / 2);
-      std::rotate(order.begin(), order.begin() + s_.self % static_cast<long>(order.size()), order.end());
+      std::rotate(order.begin(), order.begin() + settings_.self % static_cast<long>(order.size()),
+                  order.end());
     }
     return order;
   }
 
-  bool stalled_for(const Held& h, Engine& e, TimeUs now) {
-    if (!cls(h).load && !cls(h).waits_for_loads) return false;
-    if (e.loads.count(h.q.table_group) > 0) return true;
-    const auto it = e.stalled.find(h.q.table_group);
-    return it != e.stalled.end() && it->second > now;
+  bool stalled_by_load(const TrackedQuery& tracked, Engine& engine, TimeUs now) {
+    if (!class_of(tracked).load && !class_of(tracked).waits_for_loads) return false;
+    if (engine.loads_in_flight.count(tracked.query.table_group) > 0) return true;
+    const auto it = engine.group_stalled_until.find(tracked.query.table_group);
+    return it != engine.group_stalled_until.end() && it->second > now;
   }
 
-  // Answers slower than the pressure line shrink the bounds in proportion (exception "slow answers").
-  static double ease(const Engine& e) { return std::min(1.0, kPressure / std::max(e.slowdown, 0.1)); }
+  // Above the pressure slowdown the bounds shrink in proportion (exception "slow answers").
+  static double bounds_scale(const Engine& engine) {
+    return std::min(1.0, kPressureSlowdown / std::max(engine.slowdown, 0.1));
+  }
 
-  bool under_bounds(const Held& h, const Engine& e) const {
-    const double threads = cls(h).threads;
-    const double by_mean = kMeanBound * pool_.threads / std::max(pool_.engines, 1.0);
-    const double by_cores = kThreadsPerCore * e.cores * share_ * ease(e) - threads;
-    return e.threads <= std::min(by_mean, std::max(by_cores, 0.0)) + 1e-9;
+  bool within_thread_bounds(const TrackedQuery& tracked, const Engine& engine) const {
+    const double threads = class_of(tracked).threads;
+    const double mean_limit = kMaxThreadsToMean * totals_.used_threads / std::max(totals_.engines, 1.0);
+    const double core_limit = kMaxThreadsPerCore * engine.cores * share_ * bounds_scale(engine) - threads;
+    return engine.used_threads <= std::min(mean_limit, std::max(core_limit, 0.0)) + 1e-9;
   }
 
-  // Memory is checked likewise (DESIGN leaves it open): queries wait here in order of worth, not in the
-  // engine.
-  bool memory_allows(const Held& h, const Engine& e) {
-    if (!counts_memory() || e.memory_mb <= 0 || e.granted_mb <= 0) return true;
-    return e.granted_mb + grant_for(h, e) <= e.memory_mb * share_ * ease(e) * e.room;
+  // Memory is checked likewise (DESIGN leaves it open): queries wait here by value, not in the engine.
+  bool memory_allows(const TrackedQuery& tracked, const Engine& engine) {
+    if (!counts_memory() || engine.memory_mb <= 0 || engine.granted_mb <= 0) return true;
+    return engine.granted_mb + grant_mb_for(tracked, engine) <=
+           engine.memory_mb * share_ * bounds_scale(engine) * engine.usable_memory_share;
   }
 
   // Guards against parts of an engine that are below one query: each lets one through, and all gateways
-  // together any number. The bounds hold for the sum over all engines too, but for short queries, which free
-  // them soon.
-  bool pool_allows(const Held& h) {
-    if (share_ <= 0) return false;  // without a lease, and nothing set aside for that
-    if (h.cost <= mean_work_ || pool_.threads <= 0) return true;
-    const double most = kThreadsPerCore * pool_.cores * share_;
-    if (pool_.slowdown > kPressure && pool_.threads + cls(h).threads > most) return false;
-    return !counts_memory() || pool_.granted_mb + wanted_mb(h) <= pool_.memory_mb * share_;
-  }
-
-  // The first engine of the group's order whose turn it is, else the one nearest to its turn.
-  Engine* route(const Held& h, TimeUs now) {
+  // together any number. So the bounds also hold for the sum over all engines, except for queries shorter
+  // than the mean, which free their threads and memory soon.
+  bool totals_allow(const TrackedQuery& tracked) {
+    if (share_ <= 0) return false;  // no lease, and no share set aside for gateways without one
+    if (tracked.cpu_us <= mean_cpu_us_ || totals_.used_threads <= 0) return true;
+    const double thread_limit = kMaxThreadsPerCore * totals_.cores * share_;
+    if (totals_.mean_slowdown > kPressureSlowdown &&
+        totals_.used_threads + class_of(tracked).threads > thread_limit)
+      return false;
+    return !counts_memory() || totals_.granted_mb + wanted_memory_mb(tracked) <= totals_.memory_mb * share_;
+  }
+
+  // The first usable engine of the group's order whose turn it is, else the nearest to that; null: none
+  // usable.
+  Engine* choose_engine(const TrackedQuery& tracked, TimeUs now) {
     Engine* best = nullptr;
     int best_rank = 0;
-    if (!pool_allows(h)) return nullptr;
-    for (Engine* e : walk_order(h.q.table_group, cls(h).load)) {
-      // Guards against running out of CPU at full size: the cheap test of a pressed engine goes first.
-      const bool pressed = e->slowdown > kPressure || now - e->last_full < kFullMemory;
-      if (pressed && !under_bounds(h, *e)) continue;
-      const bool tried = std::any_of(h.attempts.begin(), h.attempts.end(),
-                                     [&](const Attempt& a) { return a.to.id == e->entry.id; });
-      const int rank = out_of_turn(h, *e) + (tried ? kTriedRank : 0);
+    if (!totals_allow(tracked)) return nullptr;
+    for (Engine* engine : engine_order(tracked.query.table_group, class_of(tracked).load)) {
+      // Guards against running out of CPU in the largest fleets: the cheap test for pressure goes first.
+      const bool pressed =
+          engine->slowdown > kPressureSlowdown || now - engine->memory_pressure_at < kMemoryPressureTime;
+      if (pressed && !within_thread_bounds(tracked, *engine)) continue;
+      const bool tried =
+          std::any_of(tracked.attempts.begin(), tracked.attempts.end(),
+                      [&](const Attempt& attempt) { return attempt.engine.id == engine->entry.id; });
+      const int rank = turn_rank(tracked, *engine) + (tried ? kTriedEngineRank : 0);
       if (best && rank >= best_rank) continue;
-      if (stalled_for(h, *e, now) || !healthy(*e, h, now)) continue;
-      if (!may_send(h, *e, now) || !memory_allows(h, *e)) continue;
-      const bool open = h.q.tenant.empty() || budget(*e, h.q.tenant) > 0;
-      if (!open && !under_bounds(h, *e)) continue;
-      best = e;
+      if (stalled_by_load(tracked, *engine, now) || !health_allows(*engine, tracked, now)) continue;
+      if (!may_send(tracked, *engine, now) || !memory_allows(tracked, *engine)) continue;
+      const bool has_budget = tracked.query.tenant.empty() || budget_left(*engine, tracked.query.tenant) > 0;
+      if (!has_budget && !within_thread_bounds(tracked, *engine)) continue;
+      best = engine;
       best_rank = rank;
       if (rank == 0) break;
     }
     return best;
   }
 
-  // --- Admission and holding ------------------------------------------------------------------------------
-  void hold(Held& h) { h.waiting = true, line_.insert({-h.density, h.seq, h.q.id}); }
-  void unhold(Held& h) { h.waiting = false, line_.erase({-h.density, h.seq, h.q.id}); }
+  // --- Admission queue ------------------------------------------------------------------------------------
+  void enqueue(TrackedQuery& tracked) {
+    tracked.queued = true, queue_.insert({-tracked.value_per_cpu_s, tracked.sequence, tracked.query.id});
+  }
+  void dequeue(TrackedQuery& tracked) {
+    tracked.queued = false, queue_.erase({-tracked.value_per_cpu_s, tracked.sequence, tracked.query.id});
+  }
 
-  double ideal(const Held& h) const { return h.cost / cls(h).threads; }
+  // Without any slowdown.
+  double ideal_us(const TrackedQuery& tracked) const { return tracked.cpu_us / class_of(tracked).threads; }
 
-  // A held query is worth starting until its aim can't be met, or its time ends if it can't be refused.
-  TimeUs give_up_at(const Held& h) const {
-    TimeUs last = h.deadline - kAnswerMargin;
-    if (h.q.limits && h.attempts.empty()) last = h.q.limits->hold_until(last);
-    if (!may_refuse(h)) return last;
-    const double aim = static_cast<double>(cls(h).aim) + cls(h).aim_stretch * ideal(h);
-    return std::min(last, h.arrived + static_cast<TimeUs>(std::max(aim - 1.5 * ideal(h), aim * 0.3)));
+  // A queued query is started while it can meet its latency target, or up to its deadline if not refusable.
+  TimeUs give_up_at(const TrackedQuery& tracked) const {
+    TimeUs latest = tracked.deadline - kAnswerMargin;
+    if (tracked.query.limits && tracked.attempts.empty()) latest = tracked.query.limits->hold_until(latest);
+    if (!may_refuse(tracked)) return latest;
+    const double target_us =
+        static_cast<double>(class_of(tracked).aim) + class_of(tracked).aim_stretch * ideal_us(tracked);
+    return std::min(latest, tracked.arrived_at + static_cast<TimeUs>(std::max(
+                                                     target_us - 1.5 * ideal_us(tracked), target_us * 0.3)));
   }
 
-  void expire(TimeUs now, ActionSink& sink) {
-    std::vector<QueryId> due;
-    for (const auto& [density, seq, id] : line_)
-      if (give_up_at(queries_.at(id)) <= now) due.push_back(id);
-    for (const QueryId id : due) {
-      Held& h = queries_.at(id);
-      if (h.in_flight() > 0) {  // only the second copy is given up
-        unhold(h);
+  void expire_queued(TimeUs now, ActionSink& sink) {
+    std::vector<QueryId> expired;
+    for (const auto& [value_per_cpu_s, sequence, id] : queue_)
+      if (give_up_at(queries_.at(id)) <= now) expired.push_back(id);
+    for (const QueryId id : expired) {
+      TrackedQuery& tracked = queries_.at(id);
+      if (tracked.in_flight() > 0) {  // only its second copy is dropped
+        dequeue(tracked);
         continue;
       }
-      answer(now, h, sink);
-      forget_if_over(id);
+      answer(now, tracked, sink);
+      erase_if_finished(id);
     }
   }
 
-  // Places held queries, those with most worth per CPU second first.
-  // Guards against running out of CPU at full size: a new query frees nothing, so at its arrival those that
-  // found no place since the last other event are not walked through the fleet again.
-  void pump(TimeUs now, ActionSink& sink, bool freed = true) {
-    size_t tried = 0;
-    epoch_ += freed;
-    for (auto it = line_.begin(); it != line_.end() && tried++ < kScanMost;) {
-      Held& h = queries_.at(std::get<2>(*it++));
-      if (h.tried == epoch_) continue;
-      if (Engine* e = route(h, now))
-        send(now, h, *e, sink);
+  // Sends queued queries for which an engine is found, those with most value per CPU second first.
+  // Guards against running out of CPU in the largest fleets: a new query frees no capacity, so its arrival
+  // does not repeat the search for queries that found no engine since the last event that may free some.
+  void place_queued(TimeUs now, ActionSink& sink, bool capacity_freed = true) {
+    size_t tries = 0;
+    capacity_epoch_ += capacity_freed;
+    for (auto it = queue_.begin(); it != queue_.end() && tries++ < kMaxPlacementTries;) {
+      TrackedQuery& tracked = queries_.at(std::get<2>(*it++));
+      if (tracked.unplaced_epoch == capacity_epoch_) continue;
+      if (Engine* engine = choose_engine(tracked, now))
+        send(now, tracked, *engine, sink);
       else
-        h.tried = epoch_;
+        tracked.unplaced_epoch = capacity_epoch_;
     }
   }
 
-  // --- The guard: every send passes here; rules 2 to 7 ---------------------------------------------------
-  bool may_send(const Held& h, const Engine& e, TimeUs now) {
-    const ClassSettings& c = cls(h);
-    if (h.ended || now >= h.deadline) return false;
-    if (!attempts_left(s_.limits, h.made())) return false;
-    const int begun = static_cast<int>(h.attempts.size());
-    if (h.q.limits && !h.q.limits->may_send(now, begun, h.in_flight())) return false;
-    return e.listed  // rule 3: from the moment a drain is told, well inside the grace
-           && effect_allows(h, c, e, now) && placement_allows(c, e) && ration_allows(h, now) &&
-           cold_allows(h, e, now);
+  // --- Checks before every send: rules 2 to 7 -------------------------------------------------------------
+  bool may_send(const TrackedQuery& tracked, const Engine& engine, TimeUs now) {
+    const ClassSettings& query_class = class_of(tracked);
+    if (tracked.ended || now >= tracked.deadline) return false;
+    if (!attempts_left(settings_.limits, tracked.attempt_counts())) return false;
+    const int attempts_made = static_cast<int>(tracked.attempts.size());
+    if (tracked.query.limits && !tracked.query.limits->may_send(now, attempts_made, tracked.in_flight()))
+      return false;
+    return engine.listed  // rule 3: from the notice of a drain on, well within the grace period
+           && effect_allows(tracked, query_class, engine, now) && placement_allows(query_class, engine) &&
+           retry_budget_allows(tracked, now) && slow_start_allows(tracked, engine, now);
   }
 
-  bool effect_allows(const Held& h, const ClassSettings& c, const Engine& e, TimeUs now) const {  // rule 2
-    if (!s_.limits.second_copies && h.in_flight() > 0) return false;
-    return std::all_of(h.attempts.begin(), h.attempts.end(), [&](const Attempt& a) {
-      return repeat_denied(c, as_earlier(a), e.entry, now) == Denial::kNone;
+  bool effect_allows(const TrackedQuery& tracked, const ClassSettings& query_class, const Engine& engine,
+                     TimeUs now) const {  // rule 2
+    if (!settings_.limits.second_copies && tracked.in_flight() > 0) return false;
+    return std::all_of(tracked.attempts.begin(), tracked.attempts.end(), [&](const Attempt& attempt) {
+      return repeat_denied(query_class, earlier_attempt(attempt), engine.entry, now) == Denial::kNone;
     });
   }
 
-  static bool placement_allows(const ClassSettings& c, const Engine& e) {  // rule 6
-    const auto has = [](const auto& list, const std::string& x) {
-      return !list || std::find(list->begin(), list->end(), x) != list->end();
+  static bool placement_allows(const ClassSettings& query_class, const Engine& engine) {  // rule 6
+    const auto allowed = [](const auto& list, const std::string& name) {
+      return !list || std::find(list->begin(), list->end(), name) != list->end();
     };
-    return has(c.zones, e.entry.zone) && has(c.kinds, e.entry.kind);
+    return allowed(query_class.zones, engine.entry.zone) && allowed(query_class.kinds, engine.entry.kind);
   }
 
-  bool ration_allows(const Held& h, TimeUs now) {  // rule 7
-    if (h.attempts.empty() || !s_.rules.attempts_rationed) return true;
-    while (!taken_.empty() && taken_.front() <= now - s_.rules.extra_window) taken_.pop_front();
-    while (!extras_.empty() && extras_.front() < now - s_.rules.extra_window) extras_.pop_front();
-    const double made = static_cast<double>(extras_.size()) + 1;
-    if (fleet_ && fleet_->further_attempts >= 0 && made > fleet_->further_attempts) return false;
-    return made <= s_.rules.extra_free + s_.rules.extra_share * static_cast<double>(taken_.size());
+  bool retry_budget_allows(const TrackedQuery& tracked, TimeUs now) {  // rule 7
+    if (tracked.attempts.empty() || !settings_.rules.attempts_rationed) return true;
+    while (!query_times_.empty() && query_times_.front() <= now - settings_.rules.extra_window)
+      query_times_.pop_front();
+    while (!retry_times_.empty() && retry_times_.front() < now - settings_.rules.extra_window)
+      retry_times_.pop_front();
+    const double attempts_made = static_cast<double>(retry_times_.size()) + 1;
+    if (fleet_ && fleet_->further_attempts >= 0 && attempts_made > fleet_->further_attempts) return false;
+    return attempts_made <= settings_.rules.extra_free +
+                                settings_.rules.extra_share * static_cast<double>(query_times_.size());
   }
 
-  // Rule 7 spares engines work: an attempt that was never sent made none.
-  void give_back_ration(const Attempt& a) {
-    if (s_.limits.unsent_attempts_count || !as_earlier(a).unsent) return;
-    const auto place = std::find(extras_.begin(), extras_.end(), a.sent_at);
-    if (place != extras_.end()) extras_.erase(place);
+  // Rule 7 limits the work of engines: an attempt that was never sent caused none.
+  void refund_retry_budget(const Attempt& attempt) {
+    if (settings_.limits.unsent_attempts_count || !earlier_attempt(attempt).unsent) return;
+    const auto found = std::find(retry_times_.begin(), retry_times_.end(), attempt.sent_at);
+    if (found != retry_times_.end()) retry_times_.erase(found);
   }
 
-  bool cold(const Engine& e, TimeUs now) const {
-    return s_.rules.fall_multiple > 0 && e.entry.started_at > 0 &&
-           now - e.entry.started_at < s_.rules.cold_for;
+  bool in_slow_start(const Engine& engine, TimeUs now) const {
+    return settings_.rules.fall_multiple > 0 && engine.entry.started_at > 0 &&
+           now - engine.entry.started_at < settings_.rules.cold_for;
   }
 
-  // Rule 4: all gateways together; each keeps to an even part of the allowance, in any window. Where that is
-  // below the query's charge, the part is dealt whole by turn; the gateway whose turn it is sends one query.
+  // Rule 4 limits all gateways together; each keeps to an even part of the allowance in any window. Where
+  // that part is below the query's charge, gateways take turns, and the one in turn sends a single query.
   // Turns are counted from the engine's start: gateways share no clock.
-  bool cold_allows(const Held& h, const Engine& e, TimeUs now) const {
-    if (!cold(e, now)) return true;
-    const TimeUs window = s_.rules.fall_window;
-    double recent = 0;
-    for (const auto& [at, work] : e.sent)
-      if (at > now - window) recent += work;
-    const double warm =
-        static_cast<double>(now - e.entry.started_at) / static_cast<double>(s_.rules.cold_for);
-    const double capacity = e.cores * (s_.rules.cold_from + (1 - s_.rules.cold_from) * std::max(warm, 0.0));
-    const double all = kColdShare * s_.rules.fall_multiple * capacity * static_cast<double>(window);
-    const double gateways = fleet_ ? fleet_->live : s_.gateways;
-    if (recent + h.cost <= all * (fleet_ ? fleet_->cold : 1.0 / s_.gateways)) return true;
-    if (gateways == 0) return false;  // without a lease no turn is this gateway's
-    if (h.cost > kColdOne * all || (!e.sent.empty() && e.sent.back().first > now - 2 * window)) return false;
-    const TimeUs age = std::max<TimeUs>(now - e.entry.started_at, 0);
-    return turn_at(e, static_cast<std::uint64_t>(age / (2 * window))) * h.cost * gateways <= all;
+  bool slow_start_allows(const TrackedQuery& tracked, const Engine& engine, TimeUs now) const {
+    if (!in_slow_start(engine, now)) return true;
+    const TimeUs window = settings_.rules.fall_window;
+    double recent_cpu_us = 0;
+    for (const auto& [sent_at, cpu_us] : engine.slow_start_sends)
+      if (sent_at > now - window) recent_cpu_us += cpu_us;
+    const double warmed =
+        static_cast<double>(now - engine.entry.started_at) / static_cast<double>(settings_.rules.cold_for);
+    const double capacity =
+        engine.cores * (settings_.rules.cold_from + (1 - settings_.rules.cold_from) * std::max(warmed, 0.0));
+    const double allowance_us =
+        kSlowStartShare * settings_.rules.fall_multiple * capacity * static_cast<double>(window);
+    const double gateways = fleet_ ? fleet_->live : settings_.gateways;
+    if (recent_cpu_us + tracked.cpu_us <= allowance_us * (fleet_ ? fleet_->cold : 1.0 / settings_.gateways))
+      return true;
+    if (gateways == 0) return false;  // without a lease it has no turn
+    if (tracked.cpu_us > kSlowStartMaxQueryShare * allowance_us ||
+        (!engine.slow_start_sends.empty() && engine.slow_start_sends.back().first > now - 2 * window))
+      return false;
+    const TimeUs age = std::max<TimeUs>(now - engine.entry.started_at, 0);
+    return turn_place(engine, static_cast<std::uint64_t>(age / (2 * window))) * tracked.cpu_us * gateways <=
+           allowance_us;
   }
 
   // --- Attempts and answers -------------------------------------------------------------------------------
-  void send(TimeUs now, Held& h, Engine& e, ActionSink& sink) {
-    if (!may_send(h, e, now)) return;
-    unhold(h);
-    const ClassSettings& c = cls(h);
-    if (!h.attempts.empty() && s_.rules.attempts_rationed) extras_.push_back(now);
-    Attempt a;
-    a.to = e.entry;
-    a.sent_at = now;
-    a.stalls = stalls_;
-    a.charge = h.cost;
-    a.grant_mb = grant_for(h, e);
-    const int priority = s_.priorities ? priority_for(h) : 1;
-    const double grant = s_.grants ? std::floor(a.grant_mb) : 0;  // else only counted here
-    if (grant > 0 || priority != 1) sink.set_terms(h.q.id, priority, grant);
-    if (!h.q.tenant.empty()) budget(e, h.q.tenant) -= a.charge;
-    e.threads += c.threads;
-    e.granted_mb += a.grant_mb;
-    pool_.threads += c.threads;
-    pool_.granted_mb += a.grant_mb;
-    if (c.load) ++e.loads[h.q.table_group];
-    if (cold(e, now)) {
-      while (!e.sent.empty() && e.sent.front().first < now - 2 * s_.rules.fall_window) e.sent.pop_front();
-      e.sent.emplace_back(now, h.cost);
+  void send(TimeUs now, TrackedQuery& tracked, Engine& engine, ActionSink& sink) {
+    if (!may_send(tracked, engine, now)) return;
+    dequeue(tracked);
+    const ClassSettings& query_class = class_of(tracked);
+    if (!tracked.attempts.empty() && settings_.rules.attempts_rationed) retry_times_.push_back(now);
+    Attempt attempt;
+    attempt.engine = engine.entry;
+    attempt.sent_at = now;
+    attempt.stall_at_send = gateway_stall_;
+    attempt.charged_us = tracked.cpu_us;
+    attempt.grant_mb = grant_mb_for(tracked, engine);
+    const int priority = settings_.priorities ? priority_for(tracked) : 1;
+    const double grant_mb = settings_.grants ? std::floor(attempt.grant_mb) : 0;  // else counted, not sent
+    if (grant_mb > 0 || priority != 1) sink.set_terms(tracked.query.id, priority, grant_mb);
+    if (!tracked.query.tenant.empty()) budget_left(engine, tracked.query.tenant) -= attempt.charged_us;
+    engine.used_threads += query_class.threads;
+    engine.granted_mb += attempt.grant_mb;
+    totals_.used_threads += query_class.threads;
+    totals_.granted_mb += attempt.grant_mb;
+    if (query_class.load) ++engine.loads_in_flight[tracked.query.table_group];
+    if (in_slow_start(engine, now)) {
+      while (!engine.slow_start_sends.empty() &&
+             engine.slow_start_sends.front().first < now - 2 * settings_.rules.fall_window)
+        engine.slow_start_sends.pop_front();
+      engine.slow_start_sends.emplace_back(now, tracked.cpu_us);
     }
-    if (e.out.empty()) e.last_sign = std::max(e.last_sign, now - stalls_);
-    e.out.insert({h.q.id, static_cast<int>(h.attempts.size())});
-    if (e.suspect) suspect(e, now);
-    h.attempts.push_back(std::move(a));
-    sink.send(h.q.id, e.entry.id, h.q.limits ? h.q.limits->stop_at(now, h.deadline) : h.deadline);
-  }
-
-  // Short cores and disks go first to what earns most for them.
-  int priority_for(const Held& h) const {
-    if (cls(h).load) return 2;  // the sooner it ends, the less it stalls
-    const double r = h.density * mean_work_ / std::max(mean_value_ * 1e6, 1e-9);
-    return r >= 2 ? 3 : r >= 0.7 ? 2 : r >= 0.25 ? 1 : 0;
-  }
-
-  // After an outcome that did not end the query: try again where the rules allow it, else answer now.
-  void next_step(TimeUs now, Held& h, ActionSink& sink) {
-    if (h.waiting || h.in_flight() > 0) return;
-    const bool tries_left = attempts_left(s_.limits, h.made());
-    const bool may_repeat = std::any_of(engines_.begin(), engines_.end(), [&](const auto& p) {
-      return effect_allows(h, cls(h), p.second, now) && placement_allows(cls(h), p.second);
+    if (engine.attempts.empty()) engine.last_heard_at = std::max(engine.last_heard_at, now - gateway_stall_);
+    engine.attempts.insert({tracked.query.id, static_cast<int>(tracked.attempts.size())});
+    if (engine.suspect) mark_suspect(engine, now);
+    tracked.attempts.push_back(std::move(attempt));
+    sink.send(tracked.query.id, engine.entry.id,
+              tracked.query.limits ? tracked.query.limits->stop_at(now, tracked.deadline) : tracked.deadline);
+  }
+
+  // Scarce cores and disks go first to the queries with most value per CPU second. 0 (lowest) to 3; 1: usual.
+  int priority_for(const TrackedQuery& tracked) const {
+    if (class_of(tracked).load) return 2;  // the sooner a load ends, the less it stalls readers
+    const double relative_value = tracked.value_per_cpu_s * mean_cpu_us_ / std::max(mean_value_ * 1e6, 1e-9);
+    return relative_value >= 2 ? 3 : relative_value >= 0.7 ? 2 : relative_value >= 0.25 ? 1 : 0;
+  }
+
+  // After an outcome that did not end the query: queues it again where the rules allow it, else answers now.
+  void retry_or_answer(TimeUs now, TrackedQuery& tracked, ActionSink& sink) {
+    if (tracked.queued || tracked.in_flight() > 0) return;
+    const bool tries_left = attempts_left(settings_.limits, tracked.attempt_counts());
+    const bool may_repeat = std::any_of(engines_.begin(), engines_.end(), [&](const auto& item) {
+      return effect_allows(tracked, class_of(tracked), item.second, now) &&
+             placement_allows(class_of(tracked), item.second);
     });
-    const QueryLimits* const own = h.q.limits.get();
-    const TimeUs next = own ? std::max(own->next_send_at(), now) : now;
-    const bool may_follow =
-        !own || own->may_follow(now, h.attempts.back().outcome, static_cast<int>(h.attempts.size()));
-    if (!tries_left || !may_repeat || !may_follow || next >= give_up_at(h)) return answer(now, h, sink);
-    hold(h);
-    sink.set_timer(give_up_at(h) - now, kTokenWake);
-  }
-
-  bool may_refuse(const Held& h) const {
-    return std::all_of(h.attempts.begin(), h.attempts.end(), [&](const Attempt& a) {
-      return refusal_denied(cls(h), as_earlier(a)) == Denial::kNone;
+    const QueryLimits* const limits = tracked.query.limits.get();
+    const TimeUs earliest = limits ? std::max(limits->next_send_at(), now) : now;
+    const bool may_follow = !limits || limits->may_follow(now, tracked.attempts.back().outcome,
+                                                          static_cast<int>(tracked.attempts.size()));
+    if (!tries_left || !may_repeat || !may_follow || earliest >= give_up_at(tracked))
+      return answer(now, tracked, sink);
+    enqueue(tracked);
+    sink.set_timer(give_up_at(tracked) - now, kQueryExpiryTimer);
+  }
+
+  // Whether a refusal, which tells the client that a retry is harmless, is true after all attempts so far.
+  bool may_refuse(const TrackedQuery& tracked) const {
+    return std::all_of(tracked.attempts.begin(), tracked.attempts.end(), [&](const Attempt& attempt) {
+      return refusal_denied(class_of(tracked), earlier_attempt(attempt)) == Denial::kNone;
     });
   }
 
-  // Rule 1: the one place that gives a final answer, at once when the module has given up.
-  void answer(TimeUs now, Held& h, ActionSink& sink) {
-    if (h.ended) return;
-    const bool refuse = may_refuse(h);
-    end(h);
-    cancel_open(h, sink);
-    if (!refuse) return sink.fail(h.q.id);
-    const TimeUs to_reset = std::max<TimeUs>(reset_at_ + kWindow - now, 0);
-    sink.refuse(h.q.id, s_.limits.retry_after ? std::min(to_reset, s_.limits.max_retry_after) : 0);
+  // Rule 1: the only place that gives a final answer, as soon as the module gives the query up.
+  void answer(TimeUs now, TrackedQuery& tracked, ActionSink& sink) {
+    if (tracked.ended) return;
+    const bool refuse = may_refuse(tracked);
+    mark_ended(tracked);
+    cancel_in_flight(tracked, sink);
+    if (!refuse) return sink.fail(tracked.query.id);
+    const TimeUs to_reset = std::max<TimeUs>(last_reset_at_ + kBudgetWindow - now, 0);
+    sink.refuse(tracked.query.id,
+                settings_.limits.retry_after ? std::min(to_reset, settings_.limits.max_retry_after) : 0);
   }
 
-  void end(Held& h) {
-    h.ended = true;
-    if (h.waiting) unhold(h);
+  void mark_ended(TrackedQuery& tracked) {
+    tracked.ended = true;
+    if (tracked.queued) dequeue(tracked);
   }
 
-  void cancel_open(Held& h, ActionSink& sink) {
-    for (size_t i = 0; i < h.attempts.size(); ++i)
-      if (h.attempts[i].open && s_.limits.cancel) sink.cancel(h.q.id, static_cast<int>(i));
+  void cancel_in_flight(TrackedQuery& tracked, ActionSink& sink) {
+    for (size_t i = 0; i < tracked.attempts.size(); ++i)
+      if (tracked.attempts[i].in_flight && settings_.limits.cancel)
+        sink.cancel(tracked.query.id, static_cast<int>(i));
   }
 
-  void forget_if_over(QueryId id) {
+  void erase_if_finished(QueryId id) {
     const auto it = queries_.find(id);
     if (it == queries_.end() || !it->second.ended || it->second.in_flight() > 0) return;
     queries_.erase(it);
   }
 
-  // A wait for memory means that others fill the engine (work that outlives its time-out, a neighbour over
-  // its part): this gateway's part shrinks with each such sign and grows back by the tick.
-  void crowd(Engine& e, TimeUs now) {
-    if (now - e.last_full <= kFullMemory / 2) return;
-    e.room = std::max(kCrowdLeast, e.room * kCrowdStep);
-    e.last_full = now;
+  // A wait for memory means that others fill the engine (work that outlives its time-out, a gateway beyond
+  // its part): this gateway's part shrinks with each such note and recovers with each tick.
+  void record_memory_wait(Engine& engine, TimeUs now) {
+    if (now - engine.memory_pressure_at <= kMemoryPressureTime / 2) return;
+    engine.usable_memory_share = std::max(kMinMemoryShare, engine.usable_memory_share * kMemoryShareShrink);
+    engine.memory_pressure_at = now;
   }
 
   // --- Engine health --------------------------------------------------------------------------------------
-  // A suspect engine gets one trial query at a time: a fresh one of a class that is safe to repeat, or any
-  // that has no other engine left.
-  bool healthy(const Engine& e, const Held& h, TimeUs now) const {
-    if (const auto at = e.closed.find(h.q.class_index); at != e.closed.end() && now < at->second)
+  // A suspect engine gets one trial query at a time: a first attempt of a class that is safe to repeat, or
+  // any query that has no other engine left.
+  bool health_allows(const Engine& engine, const TrackedQuery& tracked, TimeUs now) const {
+    if (const auto closed = engine.closed_until.find(tracked.query.class_index);
+        closed != engine.closed_until.end() && now < closed->second)
       return false;
-    if (!e.suspect) return true;
-    if (now < e.next_trial) return false;
-    return (cls(h).effect == Effect::kIdempotent && h.attempts.empty()) || none_unsuspected(h, now);
-  }
-
-  // Guards against queries that had their first try, or may not be repeated, waiting until they are refused
-  // for engines that nobody tries: without fresh safe queries all suspects stayed shut.
-  bool none_unsuspected(const Held& h, TimeUs now) const {
-    return std::none_of(engines_.begin(), engines_.end(), [&](const auto& p) {
-      const Engine& e = p.second;
-      return e.listed && !e.suspect && placement_allows(cls(h), e) && effect_allows(h, cls(h), e, now);
+    if (!engine.suspect) return true;
+    if (now < engine.next_trial_at) return false;
+    return (class_of(tracked).effect == Effect::kIdempotent && tracked.attempts.empty()) ||
+           only_suspects_left(tracked, now);
+  }
+
+  // Guards against queries that had their first attempt, or may not be repeated, waiting for engines that
+  // nobody tries until they are refused: without new safe queries all suspects stayed closed.
+  bool only_suspects_left(const TrackedQuery& tracked, TimeUs now) const {
+    return std::none_of(engines_.begin(), engines_.end(), [&](const auto& item) {
+      const Engine& engine = item.second;
+      return engine.listed && !engine.suspect && placement_allows(class_of(tracked), engine) &&
+             effect_allows(tracked, class_of(tracked), engine, now);
     });
   }
 
-  static void clear_suspicion(Engine& e) { e.suspect = false, e.errors = 0; }
-
-  // Guards against a fleet that lost sight of an engine at one moment and tries it again at one moment: each
-  // gateway's trials keep to a place of their own.
-  void suspect(Engine& e, TimeUs now) {
-    const double place = 1 + kTrialSpread * turn_at(e, window_);
-    e.suspect = true, e.next_trial = now + static_cast<TimeUs>(place * static_cast<double>(kTrial));
-  }
-
-  void judge(TimeUs now, const Attempt& a, const Outcome& o) {
-    Engine& e = engines_.at(a.to.id);
-    if (o.kind == OutcomeKind::kOk) {
-      e.last_sign = now - stalls_;
-      e.errors *= 1 - kEngineWeight;
-      if (e.suspect && e.errors < kErrorShare) clear_suspicion(e);
-    } else if (o.kind == OutcomeKind::kFull) {
-      e.last_full = now;
-      e.closed[queries_.at(o.query).q.class_index] = now + kFullMemory;
-    } else if (o.kind == OutcomeKind::kError) {
-      e.last_sign = now - stalls_;
-      e.errors += kEngineWeight * (1 - e.errors);
-      if (e.errors > kErrorShare) suspect(e, now);
-    } else if (o.kind == OutcomeKind::kConnectFailed || o.kind == OutcomeKind::kReset) {
-      suspect(e, now);
+  static void clear_suspicion(Engine& engine) { engine.suspect = false, engine.error_rate = 0; }
+
+  // Guards against gateways that lost an engine at one moment and all try it again at one moment: each
+  // gateway's trials have a time of their own.
+  void mark_suspect(Engine& engine, TimeUs now) {
+    const double intervals = 1 + kTrialSpreadFraction * turn_place(engine, window_number_);
+    engine.suspect = true,
+    engine.next_trial_at = now + static_cast<TimeUs>(intervals * static_cast<double>(kTrialInterval));
+  }
+
+  void update_engine_health(TimeUs now, const Attempt& attempt, const Outcome& outcome) {
+    Engine& engine = engines_.at(attempt.engine.id);
+    if (outcome.kind == OutcomeKind::kOk) {
+      engine.last_heard_at = now - gateway_stall_;
+      engine.error_rate *= 1 - kEngineEwmaWeight;
+      if (engine.suspect && engine.error_rate < kSuspectErrorRate) clear_suspicion(engine);
+    } else if (outcome.kind == OutcomeKind::kFull) {
+      engine.memory_pressure_at = now;
+      engine.closed_until[queries_.at(outcome.query).query.class_index] = now + kMemoryPressureTime;
+    } else if (outcome.kind == OutcomeKind::kError) {
+      engine.last_heard_at = now - gateway_stall_;
+      engine.error_rate += kEngineEwmaWeight * (1 - engine.error_rate);
+      if (engine.error_rate > kSuspectErrorRate) mark_suspect(engine, now);
+    } else if (outcome.kind == OutcomeKind::kConnectFailed || outcome.kind == OutcomeKind::kReset) {
+      mark_suspect(engine, now);
     }
   }
 
-  // Guards against engines that answer nothing (each reset reopened them) and answers lost on the way: a
-  // query whose notes stay away or, without notes, that takes several times what its class does goes
-  // elsewhere; its engine is silent if nothing came back since. Late while notes come: the engine is slow.
-  void watch_silence(TimeUs now, ActionSink& sink) {
-    for (auto& [id, e] : engines_) {
-      for (const auto& [query, n] : e.out) {
-        Held& h = queries_.at(query);
-        Attempt& a = h.attempts[static_cast<size_t>(n)];
-        const int sent = static_cast<int>(h.attempts.size());
-        if (!h.ended && !h.waiting && h.q.limits && h.q.limits->copy_due(now, a.sent_at, sent)) hold(h);
-        if (a.given_up) continue;  // counted once: an old silence must not put off the next trial for ever
-        const bool notes = s_.progress_interval > 0;
-        const TimeUs awake = now - stalls_, begun = a.sent_at - a.stalls;
-        const bool quiet = awake - std::max(begun, e.last_sign) > kNotesMissed * s_.progress_interval;
-        const double part = notes ? kSilenceFloor : kSilencePart * static_cast<double>(cls(h).aim);
-        const double wait = std::max(kOverdue * learned(h).slow * ideal(h), std::min(kSilenceFloor, part));
-        const bool late = static_cast<double>(awake - begun) > wait;
-        const bool news = late && !a.late && !cls(h).load && !stalled_for(h, e, now);
-        // Guards against waiting behind a load that nobody tells of, at an engine that answers others.
-        const bool held = news && !notes && cls(h).waits_for_loads && e.last_sign > begun;
-        if (held) e.stalled[h.q.table_group] = now + load_length();
-        if (news) learn_slowdown(e, held ? kOverdue : kSlowMost);
-        a.late = a.late || late;
-        if (notes ? !quiet : !late) continue;
-        rescue(now, h, n, sink);
-        if (notes ? quiet : e.last_sign <= begun) suspect(e, now);
+  // Guards against engines that answer nothing (each budget reset reopened them) and answers lost on the way:
+  // a query goes elsewhere when its notes stay away or, without notes, when it takes several times the
+  // class's time; its engine is silent if nothing came from it since. Overdue, but notes come: a slow engine.
+  void check_overdue_attempts(TimeUs now, ActionSink& sink) {
+    for (auto& [id, engine] : engines_) {
+      for (const auto& [query_id, attempt_index] : engine.attempts) {
+        TrackedQuery& tracked = queries_.at(query_id);
+        Attempt& attempt = tracked.attempts[static_cast<size_t>(attempt_index)];
+        const int attempts_made = static_cast<int>(tracked.attempts.size());
+        if (!tracked.ended && !tracked.queued && tracked.query.limits &&
+            tracked.query.limits->copy_due(now, attempt.sent_at, attempts_made))
+          enqueue(tracked);
+        if (attempt.abandoned) continue;  // counted once: old silence must not delay the next trial for ever
+        const bool has_notes = settings_.progress_interval > 0;
+        const TimeUs awake_now = now - gateway_stall_, awake_sent = attempt.sent_at - attempt.stall_at_send;
+        const bool quiet = awake_now - std::max(awake_sent, engine.last_heard_at) >
+                           kSilentNoteIntervals * settings_.progress_interval;
+        const double wait_limit_us =
+            has_notes ? kMinAnswerWaitUs
+                      : kMinAnswerWaitPerTarget * static_cast<double>(class_of(tracked).aim);
+        const double max_wait_us = std::max(kOverdueFactor * stats_of(tracked).slowdown * ideal_us(tracked),
+                                            std::min(kMinAnswerWaitUs, wait_limit_us));
+        const bool overdue = static_cast<double>(awake_now - awake_sent) > max_wait_us;
+        const bool newly_overdue =
+            overdue && !attempt.overdue && !class_of(tracked).load && !stalled_by_load(tracked, engine, now);
+        // Guards against waiting behind a load that no note reports, at an engine that answers other queries.
+        const bool behind_load = newly_overdue && !has_notes && class_of(tracked).waits_for_loads &&
+                                 engine.last_heard_at > awake_sent;
+        if (behind_load) engine.group_stalled_until[tracked.query.table_group] = now + load_duration();
+        if (newly_overdue) update_slowdown(engine, behind_load ? kOverdueFactor : kMaxAnswerSlowdown);
+        attempt.overdue = attempt.overdue || overdue;
+        if (has_notes ? !quiet : !overdue) continue;
+        abandon_attempt(now, tracked, attempt_index, sink);
+        if (has_notes ? quiet : engine.last_heard_at <= awake_sent) mark_suspect(engine, now);
       }
     }
   }
 
-  // What a load takes now, from its send to its answer.
-  TimeUs load_length() const {
-    double longest = 0;
-    for (size_t c = 0; c < learned_.size(); ++c)
-      if (const Learned& l = learned_[c]; s_.classes[c].load)
-        longest = std::max(longest, l.mean * l.slow / s_.classes[c].threads);
-    return static_cast<TimeUs>(longest);
+  // How long a load query takes now, from its send to its answer; the longest of all load classes.
+  TimeUs load_duration() const {
+    double longest_us = 0;
+    for (size_t index = 0; index < stats_.size(); ++index)
+      if (const ClassStats& stats = stats_[index]; settings_.classes[index].load)
+        longest_us = std::max(longest_us, stats.mean_us * stats.slowdown / settings_.classes[index].threads);
+    return static_cast<TimeUs>(longest_us);
   }
 
-  // Guards against a bad plan (drawn anew for each attempt): the pace that notes tell would take several
-  // times what the class takes now. Once a query, where it is safe to repeat and a new attempt is in time.
-  bool runaway(const Held& h, const Attempt& a, double done, TimeUs now) {
-    const double took = static_cast<double>(now - a.sent_at - (stalls_ - a.stalls));
-    const double expected = learned(h).slow * ideal(h);
-    return s_.limits.cancel && cls(h).effect == Effect::kIdempotent && !h.redrawn && !a.given_up &&
-           took / std::max(done, 0.01) > kRunaway * expected && now < give_up_at(h);
+  // Guards against a bad plan (each attempt gets a new one): at the pace of its notes the attempt would take
+  // several times the class's present time. Once a query, where it is safe to repeat and there is time left.
+  bool is_runaway(const TrackedQuery& tracked, const Attempt& attempt, double progress, TimeUs now) {
+    const double elapsed_us =
+        static_cast<double>(now - attempt.sent_at - (gateway_stall_ - attempt.stall_at_send));
+    const double expected_us = stats_of(tracked).slowdown * ideal_us(tracked);
+    return settings_.limits.cancel && class_of(tracked).effect == Effect::kIdempotent &&
+           !tracked.cancelled_as_runaway && !attempt.abandoned &&
+           elapsed_us / std::max(progress, 0.01) > kRunawayFactor * expected_us && now < give_up_at(tracked);
   }
 
-  // A query stuck on a silent engine goes elsewhere, as a second copy or after a cancel.
-  void rescue(TimeUs now, Held& h, int n, ActionSink& sink) {
-    h.attempts[static_cast<size_t>(n)].given_up = true;
-    if (h.ended || cls(h).effect == Effect::kAtMostOnce) return;
-    if (s_.limits.cancel) return sink.cancel(h.q.id, n);
-    if (s_.limits.second_copies && !h.waiting && now < give_up_at(h)) hold(h);
+  // Sends a query that is stuck on a silent engine elsewhere, as a second copy or after a cancel.
+  void abandon_attempt(TimeUs now, TrackedQuery& tracked, int attempt_index, ActionSink& sink) {
+    tracked.attempts[static_cast<size_t>(attempt_index)].abandoned = true;
+    if (tracked.ended || class_of(tracked).effect == Effect::kAtMostOnce) return;
+    if (settings_.limits.cancel) return sink.cancel(tracked.query.id, attempt_index);
+    if (settings_.limits.second_copies && !tracked.queued && now < give_up_at(tracked)) enqueue(tracked);
   }
 
-  Settings s_;
-  bool started_ = false;
-  TimeUs started_at_ = 0, reset_at_ = 0, ask_again_ = 0;
-  TimeUs tick_due_ = 0, stalls_ = 0;  // the next tick; how late ticks were in all: this gateway's own stalls
-  double share_, quota_ = 0;
+  Settings settings_;
+  bool started_ = false;                                            // from the first event on
+  TimeUs started_at_ = 0, last_reset_at_ = 0, resubscribe_at_ = 0;  // resubscribe_at_ 0: not due
+  TimeUs next_tick_at_ = 0, gateway_stall_ = 0;                     // gateway_stall_: total lateness of ticks
+  double share_, quota_per_s_ = 0;   // this gateway's part of all; sum of the tenants' quotas
   std::optional<FleetShare> fleet_;  // what a fleet leaves this gateway; none: no fleet
-  std::uint64_t seq_ = 0, window_ = 0, epoch_ = 1;
-  Pool pool_;
-  std::map<std::pair<std::int64_t, bool>, std::vector<Engine*>> orders_;  // by group, loads apart
-  double mean_value_ = 0, mean_work_ = 0;                                 // of a query: worth, us of CPU
+  // Queries so far; number of the budget window; number of events so far that may have freed capacity.
+  std::uint64_t last_sequence_ = 0, window_number_ = 0, capacity_epoch_ = 1;
+  EngineTotals totals_;
+  std::map<std::pair<std::int64_t, bool>, std::vector<Engine*>> engine_orders_;  // by group; true: loads
+  double mean_value_ = 0, mean_cpu_us_ = 0;  // over all queries: value, expected CPU time
   std::map<EngineId, Engine> engines_;
-  std::map<QueryId, Held> queries_;
-  std::set<std::tuple<double, std::uint64_t, QueryId>> line_;
-  std::vector<Learned> learned_;
-  std::deque<TimeUs> arrivals_, taken_, extras_;
+  std::map<QueryId, TrackedQuery> queries_;
+  std::set<std::tuple<double, std::uint64_t, QueryId>> queue_;  // most value first, then oldest
+  std::vector<ClassStats> stats_;                               // as in Settings::classes
+  std::deque<TimeUs> arrivals_, query_times_, retry_times_;     // last two: for rule 7's retry budget
 };
 
 }  // namespace
