--- a/src/decision/engine_starts.cpp
+++ b/src/decision/engine_starts.cpp
@@ -5,33 +5,34 @@
 namespace orchidgw {
 namespace {
 
-// The module sends a cold engine half of what it is allowed. An engine that has just started and is taken for
-// one of the trusted age has at most this much more capacity in the module's eyes than it has in truth.
-constexpr double kCapacityError = 1.5;
-constexpr TimeUs kEarliestInstant = 1;  // 0 stands for a start a long time back
+// The module sends a cold engine half of what it is allowed. For an engine that has just started but is taken
+// to be of the greatest trusted age, the module's estimate of the capacity is at most this multiple of the
+// true one.
+constexpr double kMaxCapacityError = 1.5;
+constexpr TimeUs kEarliestStart = 1;  // 0 stands for a start a long time back
 
-TimeUs trusted_age_under(const Rules& rules) {
+TimeUs max_trusted_age_for(const Rules& rules) {
   if (rules.cold_from >= 1) return rules.cold_for;  // starts warm: nothing depends on its age
-  const double warmth = rules.cold_from * (kCapacityError - 1) / (1 - rules.cold_from);
+  const double warmth = rules.cold_from * (kMaxCapacityError - 1) / (1 - rules.cold_from);
   return std::min(rules.cold_for, static_cast<TimeUs>(warmth * static_cast<double>(rules.cold_for)));
 }
 
 }  // namespace
 
-EngineStarts::EngineStarts(const Rules& rules) : trusted_age_(trusted_age_under(rules)) {}
+EngineStarts::EngineStarts(const Rules& rules) : max_trusted_age_(max_trusted_age_for(rules)) {}
 
 TimeUs EngineStarts::instant_of(const EngineId& engine, WallTime up_since, WallTime wall_now, TimeUs now) {
-  const auto it = known_.find(engine);
-  if (it != known_.end() && it->second.up_since == up_since) return it->second.instant;
-  const TimeUs age_by_wall = wall_now.unix_us - up_since.unix_us;
-  const TimeUs age = std::clamp<TimeUs>(age_by_wall, 0, trusted_age_);
-  const TimeUs instant = std::max(now - age, kEarliestInstant);
-  known_[engine] = {up_since, instant};
-  return instant;
+  const auto known = known_.find(engine);
+  if (known != known_.end() && known->second.up_since == up_since) return known->second.started_at;
+  const TimeUs age_by_wall_clock = wall_now.unix_us - up_since.unix_us;
+  const TimeUs age = std::clamp<TimeUs>(age_by_wall_clock, 0, max_trusted_age_);
+  const TimeUs started_at = std::max(now - age, kEarliestStart);
+  known_[engine] = {up_since, started_at};
+  return started_at;
 }
 
 void EngineStarts::keep_only(const std::set<EngineId>& listed) {
-  std::erase_if(known_, [&](const auto& known) { return !listed.contains(known.first); });
+  std::erase_if(known_, [&](const auto& entry) { return !listed.contains(entry.first); });
 }
 
 }  // namespace orchidgw
--- a/src/decision/engine_starts.h
+++ b/src/decision/engine_starts.h
@@ -1,6 +1,6 @@
-// When engines started, as instants of this process. The engine list publishes starts in wall-clock time, and
-// a wall clock may be wrong by any amount, here or there: it is asked once for each start, when it is heard,
-// and believed only within a bound.
+// Start times of engines on this process's monotonic clock. The engine list publishes them in wall-clock
+// time, and the wall clock of either machine may be wrong by any amount: it is read once per start, when the
+// start is first seen, and the age computed from it is trusted only up to a bound.
 #pragma once
 
 #include <map>
@@ -15,24 +15,26 @@
  public:
   explicit EngineStarts(const Rules& rules);
 
-  // The instant of the start that is published as `up_since`: `now` less its age by the wall clock, which
-  // counts as 0 at least and `trusted_age()` at most. The same start has the same instant ever after. So a
-  // wall clock that is wrong makes an engine neither warmer than the margin of the slow-start allowance
-  // covers, nor cold for longer than `Rules::cold_for` after it was heard of.
+  // When an engine started whose start is published as `up_since`: `now` less its age by the wall clock,
+  // which is taken as at least 0 and at most `max_trusted_age()`. Never 0, and the same for each call with
+  // the same start. So a wrong wall clock neither makes an engine look warmer than the margin in the
+  // slow-start allowance covers, nor makes it look cold for longer than `Rules::cold_for` after it was first
+  // seen.
   TimeUs instant_of(const EngineId& engine, WallTime up_since, WallTime wall_now, TimeUs now);
   void forget(const EngineId& engine) { known_.erase(engine); }
+  // Forgets all engines but those `listed`.
   void keep_only(const std::set<EngineId>& listed);
   std::size_t size() const { return known_.size(); }
 
-  TimeUs trusted_age() const { return trusted_age_; }
+  TimeUs max_trusted_age() const { return max_trusted_age_; }
 
  private:
   struct Start {
     WallTime up_since;
-    TimeUs instant = 0;
+    TimeUs started_at = 0;
   };
 
-  TimeUs trusted_age_;
+  TimeUs max_trusted_age_;
   std::map<EngineId, Start> known_;
 };
 
--- a/src/decision/permission.cpp
+++ b/src/decision/permission.cpp
@@ -5,20 +5,21 @@
 namespace orchidgw {
 namespace {
 
-// Engines are told whole milliseconds: with less left they would be told more than there is.
-constexpr TimeUs kLeastTimeLeft = 1000;
-// Connects that fail are bounded too: guards against a query that goes round among engines that are all down.
-constexpr int kUnsentPerAttempt = 4;
+// Engines get their time limit in whole milliseconds: with less left they would get more than there is.
+constexpr TimeUs kMinTimeLeft = 1000;
+// Failed connects are bounded too, by this multiple of the attempts allowed: guards against a query that is
+// tried over and over at engines that are all down.
+constexpr int kMaxUnsentPerAttempt = 4;
 
-bool refused_safely(const ClassSettings& query_class) {
+bool refusal_is_safe(const ClassSettings& query_class) {
   if (query_class.effect == Effect::kIdempotent) return true;
   return query_class.effect == Effect::kDeduplicated && query_class.repeat_scope == RepeatScope::kAll;
 }
 
-AttemptCounts counts_of(std::span<const EarlierAttempt> attempts) {
-  AttemptCounts made;
-  for (const EarlierAttempt& attempt : attempts) ++(attempt.unsent ? made.unsent : made.sent);
-  return made;
+AttemptCounts count_attempts(std::span<const EarlierAttempt> attempts) {
+  AttemptCounts counts;
+  for (const EarlierAttempt& attempt : attempts) ++(attempt.unsent ? counts.unsent : counts.sent);
+  return counts;
 }
 
 }  // namespace
@@ -32,7 +33,7 @@
 
 bool attempts_left(const Limits& limits, AttemptCounts made) {
   const int counted = made.sent + (limits.unsent_attempts_count ? made.unsent : 0);
-  return counted < limits.max_attempts && made.unsent < kUnsentPerAttempt * limits.max_attempts;
+  return counted < limits.max_attempts && made.unsent < kMaxUnsentPerAttempt * limits.max_attempts;
 }
 
 Denial repeat_denied(const ClassSettings& query_class, const EarlierAttempt& earlier, const EngineEntry& to,
@@ -46,18 +47,19 @@
 }
 
 Denial refusal_denied(const ClassSettings& query_class, const EarlierAttempt& earlier) {
-  if (refused_safely(query_class) || !earlier.may_have_run) return Denial::kNone;
+  if (refusal_is_safe(query_class) || !earlier.may_have_run) return Denial::kNone;
   return Denial::kMayHaveRun;
 }
 
 Denial start_denied(const StartRequest& start, std::span<const EarlierAttempt> others, TimeUs now) {
-  if (start.query_over) return Denial::kQueryOver;
-  if (start.stop_at - now < kLeastTimeLeft) return Denial::kOutOfTime;
-  if (start.to == nullptr || start.to->state != EngineState::kInService) return Denial::kEngineLeaving;
-  if (!attempts_left(start.limits, counts_of(others))) return Denial::kTooManyAttempts;
+  if (start.query_ended) return Denial::kQueryOver;
+  if (start.stop_at - now < kMinTimeLeft) return Denial::kOutOfTime;
+  if (start.engine == nullptr || start.engine->state != EngineState::kInService)
+    return Denial::kEngineLeaving;
+  if (!attempts_left(start.limits, count_attempts(others))) return Denial::kTooManyAttempts;
   for (const EarlierAttempt& other : others) {
-    if (other.out && !start.limits.second_copies) return Denial::kAttemptOut;
-    const Denial denial = repeat_denied(start.query_class, other, *start.to, now);
+    if (other.in_flight && !start.limits.second_copies) return Denial::kAttemptOut;
+    const Denial denial = repeat_denied(start.query_class, other, *start.engine, now);
     if (denial != Denial::kNone) return denial;
   }
   return Denial::kNone;
--- a/src/decision/shutdown_schedule.h
+++ b/src/decision/shutdown_schedule.h
@@ -1,6 +1,6 @@
-// The one place that says when the parts of a planned shutdown are due. Whoever supervises this process sends
-// SIGKILL no sooner than the longest deadline of the settings (counted as 3 s where it is longer) and 0.7 s
-// after SIGTERM; clients may use their open connections until then.
+// Computes when the steps of a planned shutdown are due; no other code does. The supervisor of this process
+// sends SIGKILL no sooner than the longest deadline in the settings (at most 3 s of it) plus 0.7 s after
+// SIGTERM; until then clients may use their open connections.
 #pragma once
 
 #include <span>
@@ -11,12 +11,13 @@
 namespace orchidgw {
 
 struct ShutdownSchedule {
-  TimeUs asked_at = 0;    // SIGTERM
-  TimeUs close_from = 0;  // nobody is accepted any more; each client is closed behind its next answer
+  TimeUs asked_at = 0;    // SIGTERM was sent
+  TimeUs close_from = 0;  // from here on: no new connections; each open one is closed after its next answer
   TimeUs answer_by = 0;   // every request that was read has its final answer
-  TimeUs end_by = 0;      // the process ends, whatever is still open
+  TimeUs end_by = 0;      // the process ends at the latest, whatever is still open
 };
 
+// `asked_at`: when SIGTERM was sent; all times are instants on its clock.
 ShutdownSchedule shutdown_schedule(std::span<const ClassSettings> classes, TimeUs asked_at);
 
 }  // namespace orchidgw
--- a/tests/unit/permission_test.cpp
+++ b/tests/unit/permission_test.cpp
@@ -1,5 +1,5 @@
-// What may be started, repeated, refused and closed (decision/permission.h), and when engines count as
-// started (decision/engine_starts.h).
+// Which starts, repeats and refusals are allowed (decision/permission.h), and the start times of engines on
+// the monotonic clock (decision/engine_starts.h).
 #include "decision/permission.h"
 
 #include <gtest/gtest.h>
@@ -17,88 +17,90 @@
 class Permission : public ::testing::Test {
  protected:
   Permission() {
-    load.effect = Effect::kDeduplicated;
-    load.repeat_window = 5 * kSecond;
+    query_class.effect = Effect::kDeduplicated;
+    query_class.repeat_window = 5 * kSecond;
     limits.max_attempts = 3;
     engine.zone = "a";
     engine.cell = 1;
   }
 
-  Denial denied(std::vector<EarlierAttempt> others = {}) const {
-    return start_denied({load, &engine, over, stop_at, limits}, others, kNow);
+  Denial start_denial(std::vector<EarlierAttempt> others = {}) const {
+    return start_denied({query_class, &engine, query_ended, stop_at, limits}, others, kNow);
   }
 
-  static EarlierAttempt ran(TimeUs ago) { return {kNow - ago, false, true, "a", 1}; }
+  static EarlierAttempt may_have_run(TimeUs ago) { return {kNow - ago, false, true, "a", 1}; }
 
-  ClassSettings load;
+  ClassSettings query_class;
   Limits limits;
   EngineEntry engine;
-  bool over = false;
+  bool query_ended = false;
   TimeUs stop_at = kNow + kSecond;
 };
 
-TEST_F(Permission, AFirstAttemptOfAQueryThatIsWaitedForMayStart) { EXPECT_EQ(denied(), Denial::kNone); }
+TEST_F(Permission, FirstAttemptOfAnOpenQueryMayStart) { EXPECT_EQ(start_denial(), Denial::kNone); }
 
-TEST_F(Permission, NothingStartsForAQueryThatIsOverOrOutOfTime) {
+TEST_F(Permission, NothingStartsForAQueryThatHasEndedOrIsOutOfTime) {
   stop_at = kNow + kMs - 1;
-  EXPECT_EQ(denied(), Denial::kOutOfTime);
-  over = true;
-  EXPECT_EQ(denied(), Denial::kQueryOver);
+  EXPECT_EQ(start_denial(), Denial::kOutOfTime);
+  query_ended = true;
+  EXPECT_EQ(start_denial(), Denial::kQueryOver);
 }
 
-TEST_F(Permission, NothingStartsAtAnEngineThatLeavesOrIsNotListed) {
+TEST_F(Permission, NothingStartsAtAnEngineThatDrainsOrIsNotListed) {
   engine.state = EngineState::kDraining;
-  EXPECT_EQ(denied(), Denial::kEngineLeaving);
-  EXPECT_EQ(start_denied({load, nullptr, over, stop_at, limits}, {}, kNow), Denial::kEngineLeaving);
+  EXPECT_EQ(start_denial(), Denial::kEngineLeaving);
+  EXPECT_EQ(start_denied({query_class, nullptr, query_ended, stop_at, limits}, {}, kNow),
+            Denial::kEngineLeaving);
 }
 
-TEST_F(Permission, TwoAttemptsAreOutAtOnceOnlyWhereCopiesAreAllowed) {
-  load.effect = Effect::kIdempotent;
-  EarlierAttempt out = ran(kSecond);
-  out.out = true;
-  EXPECT_EQ(denied({out}), Denial::kAttemptOut);
+TEST_F(Permission, TwoAttemptsAreInFlightOnlyWhereCopiesAreAllowed) {
+  query_class.effect = Effect::kIdempotent;
+  EarlierAttempt in_flight = may_have_run(kSecond);
+  in_flight.in_flight = true;
+  EXPECT_EQ(start_denial({in_flight}), Denial::kAttemptOut);
   limits.second_copies = true;
-  EXPECT_EQ(denied({out}), Denial::kNone);
+  EXPECT_EQ(start_denial({in_flight}), Denial::kNone);
 }
 
-TEST_F(Permission, ARepeatKeepsToItsWindowToTheMicrosecond) {
-  EXPECT_EQ(denied({ran(5 * kSecond - 1)}), Denial::kNone);
-  EXPECT_EQ(denied({ran(5 * kSecond)}), Denial::kWindowOver);
-  EXPECT_EQ(denied({ran(5 * kSecond), ran(kSecond)}), Denial::kWindowOver);
-  EXPECT_EQ(denied({ran(kSecond), ran(kSecond), ran(kSecond)}), Denial::kTooManyAttempts);
+TEST_F(Permission, RepeatIsDeniedFromTheEndOfItsWindowToTheMicrosecond) {
+  EXPECT_EQ(start_denial({may_have_run(5 * kSecond - 1)}), Denial::kNone);
+  EXPECT_EQ(start_denial({may_have_run(5 * kSecond)}), Denial::kWindowOver);
+  EXPECT_EQ(start_denial({may_have_run(5 * kSecond), may_have_run(kSecond)}), Denial::kWindowOver);
+  EXPECT_EQ(start_denial({may_have_run(kSecond), may_have_run(kSecond), may_have_run(kSecond)}),
+            Denial::kTooManyAttempts);
 }
 
 TEST_F(Permission, AttemptsThatWereNeverSentCountOnlyWhereTheSettingsSaySo) {
-  load.effect = Effect::kIdempotent;
-  EarlierAttempt unsent = ran(kSecond);
+  query_class.effect = Effect::kIdempotent;
+  EarlierAttempt unsent = may_have_run(kSecond);
   unsent.may_have_run = false;
   unsent.unsent = true;
-  EXPECT_EQ(denied({unsent, unsent, unsent}), Denial::kNone);
-  EXPECT_EQ(denied(std::vector<EarlierAttempt>(12, unsent)), Denial::kTooManyAttempts);
+  EXPECT_EQ(start_denial({unsent, unsent, unsent}), Denial::kNone);
+  EXPECT_EQ(start_denial(std::vector<EarlierAttempt>(12, unsent)), Denial::kTooManyAttempts);
   limits.unsent_attempts_count = true;
-  EXPECT_EQ(denied({unsent, unsent}), Denial::kNone);
-  EXPECT_EQ(denied({unsent, unsent, unsent}), Denial::kTooManyAttempts);
+  EXPECT_EQ(start_denial({unsent, unsent}), Denial::kNone);
+  EXPECT_EQ(start_denial({unsent, unsent, unsent}), Denial::kTooManyAttempts);
 }
 
-TEST_F(Permission, ARepeatKeepsToTheEnginesThatDropIt) {
-  EarlierAttempt elsewhere = ran(kSecond);
+TEST_F(Permission, RepeatIsDeniedOutsideItsScope) {
+  EarlierAttempt elsewhere = may_have_run(kSecond);
   elsewhere.zone = "b";
   elsewhere.cell = 2;
-  EXPECT_EQ(denied({elsewhere}), Denial::kNone);
-  load.repeat_scope = RepeatScope::kZone;
-  EXPECT_EQ(denied({elsewhere}), Denial::kOutsideScope);
-  load.repeat_scope = RepeatScope::kCell;
-  EXPECT_EQ(denied({elsewhere}), Denial::kOutsideScope);
+  EXPECT_EQ(start_denial({elsewhere}), Denial::kNone);
+  query_class.repeat_scope = RepeatScope::kZone;
+  EXPECT_EQ(start_denial({elsewhere}), Denial::kOutsideScope);
+  query_class.repeat_scope = RepeatScope::kCell;
+  EXPECT_EQ(start_denial({elsewhere}), Denial::kOutsideScope);
 }
 
-TEST_F(Permission, WhatMayHaveRunOnceIsNeitherRepeatedNorRefused) {
-  load.effect = Effect::kAtMostOnce;
-  EarlierAttempt never = ran(kSecond);
-  never.may_have_run = false;
-  EXPECT_EQ(denied({ran(kSecond)}), Denial::kMayHaveRun);
-  EXPECT_EQ(denied({never}), Denial::kNone);
-  EXPECT_EQ(refusal_denied(load, ran(kSecond)), Denial::kMayHaveRun);
-  EXPECT_EQ(refusal_denied(load, never), Denial::kNone);
+TEST_F(Permission, AtMostOnceQueryThatMayHaveRunIsNeitherRepeatedNorRefused) {
+  query_class.effect = Effect::kAtMostOnce;
+  EarlierAttempt did_not_run = may_have_run(kSecond);
+  did_not_run.may_have_run = false;
+  EXPECT_EQ(start_denial({may_have_run(kSecond)}), Denial::kMayHaveRun);
+  EXPECT_EQ(start_denial({did_not_run}), Denial::kNone);
+  EXPECT_EQ(refusal_denied(query_class, may_have_run(kSecond)), Denial::kMayHaveRun);
+  EXPECT_EQ(refusal_denied(query_class, did_not_run), Denial::kNone);
 }
 
 class EngineStart : public ::testing::Test {
@@ -108,41 +110,43 @@
     rules.cold_for = 15 * kSecond;
   }
 
-  static WallTime wall(TimeUs later) { return {kWallNow.unix_us + later}; }
+  static WallTime wall_now_plus(TimeUs offset) { return {kWallNow.unix_us + offset}; }
 
   Rules rules;
 };
 
-TEST_F(EngineStart, AnAgeWithinTheBoundIsTheWallClocks) {
+TEST_F(EngineStart, AgeWithinTheBoundIsTakenFromTheWallClock) {
   EngineStarts starts(rules);
-  EXPECT_EQ(starts.instant_of("s", wall(-kSecond), kWallNow, kNow), kNow - kSecond);
+  EXPECT_EQ(starts.instant_of("s", wall_now_plus(-kSecond), kWallNow, kNow), kNow - kSecond);
 }
 
-// Either way: an engine that has just started is not taken for a warm one, nor one that is warm shunned for
-// long.
-TEST_F(EngineStart, AWrongWallClockMovesAStartNoFurtherThanItsBound) {
-  for (const TimeUs wrong : {-3600 * kSecond, -3 * kSecond, 3 * kSecond, 3600 * kSecond}) {
+// Whichever way the clock is wrong: an engine that has just started is not taken for a warm one, and a warm
+// one is not avoided for long.
+TEST_F(EngineStart, WrongWallClockMovesAStartNoFurtherThanTheBound) {
+  for (const TimeUs clock_error : {-3600 * kSecond, -3 * kSecond, 3 * kSecond, 3600 * kSecond}) {
     EngineStarts starts(rules);
-    const TimeUs instant = starts.instant_of("s", kWallNow, wall(wrong), kNow);
-    EXPECT_GE(instant, kNow - starts.trusted_age()) << wrong;
-    EXPECT_LE(instant, kNow) << wrong;
+    const TimeUs started_at = starts.instant_of("s", kWallNow, wall_now_plus(clock_error), kNow);
+    EXPECT_GE(started_at, kNow - starts.max_trusted_age()) << clock_error;
+    EXPECT_LE(started_at, kNow) << clock_error;
   }
-  EXPECT_LT(EngineStarts(rules).trusted_age(), 5 * kSecond);
+  EXPECT_LT(EngineStarts(rules).max_trusted_age(), 5 * kSecond);
 }
 
-TEST_F(EngineStart, TheSameStartHasTheSameInstantWhateverTheClocksSayLater) {
+TEST_F(EngineStart, SameStartKeepsItsTimeWhateverTheClocksSayLater) {
   EngineStarts starts(rules);
   const TimeUs first = starts.instant_of("s", kWallNow, kWallNow, kNow);
-  EXPECT_EQ(starts.instant_of("s", kWallNow, wall(-3600 * kSecond), kNow + kSecond), first);
-  EXPECT_EQ(starts.instant_of("s", wall(kSecond), wall(kSecond), kNow + kSecond), kNow + kSecond);
+  EXPECT_EQ(starts.instant_of("s", kWallNow, wall_now_plus(-3600 * kSecond), kNow + kSecond), first);
+  EXPECT_EQ(starts.instant_of("s", wall_now_plus(kSecond), wall_now_plus(kSecond), kNow + kSecond),
+            kNow + kSecond);
   starts.keep_only({});
   EXPECT_EQ(starts.size(), 0U);
 }
 
-// A machine that was booted a moment ago: an instant before its boot would pass for "a long time back".
-TEST_F(EngineStart, AStartBeforeThisMachinesBootIsNotALongTimeBack) {
+// Guards against a start time of 0 or less on a machine that was booted a moment ago: 0 means that the engine
+// started a long time back.
+TEST_F(EngineStart, StartBeforeThisMachinesBootIsNotALongTimeBack) {
   EngineStarts starts(rules);
-  EXPECT_GT(starts.instant_of("s", wall(-3 * kSecond), kWallNow, kSecond), 0);
+  EXPECT_GT(starts.instant_of("s", wall_now_plus(-3 * kSecond), kWallNow, kSecond), 0);
 }
 
 }  // namespace
