--- a/src/decision/decision.h
+++ b/src/decision/decision.h
@@ -51,8 +51,8 @@
   std::optional<std::vector<std::string>> zones;  // the only zones allowed, if given
   std::optional<std::vector<std::string>> kinds;  // the only machine kinds allowed, if given
   int threads = 1;                                // that a query uses on its engine
-  bool load = false;             // loads data: blocks its table group on its engine while it runs
-  bool waits_for_loads = false;  // blocked on an engine while a load holds the query's table group there
+  bool load = false;             // load queries: each blocks its table group on its engine while it runs
+  bool waits_for_loads = false;  // blocked on an engine while a load query blocks the table group there
 };
 
 struct KindSettings {  // of machines that engines run on
@@ -93,7 +93,7 @@
   TimeUs fall_window = 0;
   TimeUs key_rest = 0;
   // Retry budget (rule 7): in any `extra_window`, attempts beyond each query's first number at most
-  // `extra_free` plus the part `extra_share` of the queries taken.
+  // `extra_free` plus the part `extra_share` of the queries accepted.
   bool attempts_rationed = false;
   double extra_free = 0;
   double extra_share = 0;
@@ -167,8 +167,8 @@
   std::vector<double> budgets;  // of each tenant's CPU budget, in the order of Settings::tenants
   double bounds = 0;            // of the bounds on engines' threads and memory
   double cold = 0;              // of the slow-start allowance (rule 4)
-  // Attempts beyond queries' first that this gateway may make in a window of rule 7, which holds as well; a
-  // number, not a part. -1: not divided.
+  // Attempts beyond queries' first that this gateway may make in a window of the retry budget (rule 7), which
+  // holds as well; a number, not a part. -1: not divided.
   int further_attempts = -1;
   int live = 0;   // gateways that hold a lease; 0: this one has none
   int place = 0;  // index of this one among them, from 0
@@ -196,7 +196,7 @@
   int attempt = 0;
   EngineId engine;
   NoteKind kind = NoteKind::kProgress;
-  // kProgress: the part done, 0 to 1. kSpill: MB missing. kWait: 1 waits for memory, 2 for a load.
+  // kProgress: the part done, 0 to 1. kSpill: MB missing. kWait: 1 waits for memory, 2 for a load query.
   double value = 0;
 };
 
--- a/src/decision/engine_starts.cpp
+++ b/src/decision/engine_starts.cpp
@@ -5,16 +5,16 @@
 namespace orchidgw {
 namespace {
 
-// The module sends a cold engine half of what it is allowed. For an engine that has just started but is taken
-// to be of the greatest trusted age, the module's estimate of the capacity is at most this multiple of the
-// true one.
+// The module sends an engine in slow start half of what it is allowed. For an engine that has just started
+// but is taken to be of the greatest trusted age, the module's estimate of its capacity is at most this
+// multiple of the true one.
 constexpr double kMaxCapacityError = 1.5;
 constexpr TimeUs kEarliestStart = 1;  // 0 stands for a start a long time back
 
 TimeUs max_trusted_age_for(const Rules& rules) {
-  if (rules.cold_from >= 1) return rules.cold_for;  // starts warm: nothing depends on its age
-  const double warmth = rules.cold_from * (kMaxCapacityError - 1) / (1 - rules.cold_from);
-  return std::min(rules.cold_for, static_cast<TimeUs>(warmth * static_cast<double>(rules.cold_for)));
+  if (rules.cold_from >= 1) return rules.cold_for;  // no slow start: nothing depends on its age
+  const double slow_start_part = rules.cold_from * (kMaxCapacityError - 1) / (1 - rules.cold_from);
+  return std::min(rules.cold_for, static_cast<TimeUs>(slow_start_part * static_cast<double>(rules.cold_for)));
 }
 
 }  // namespace
--- a/src/decision/permission.h
+++ b/src/decision/permission.h
@@ -29,7 +29,7 @@
 };
 inline constexpr std::size_t kDenials = 10;
 
-const char* name_of(Denial denial);
+const char* name_of(Denial denial);  // as metrics and log lines have it
 
 // What the rules need to know of another attempt of the same query.
 struct EarlierAttempt {
@@ -55,12 +55,12 @@
 // Whether the settings allow one more attempt.
 bool attempts_left(const Limits& limits, AttemptCounts made);
 
-// Whether another attempt at the engine `to` may follow `earlier`.
+// Why another attempt, at the engine `to`, may not follow `earlier`; kNone: it may.
 Denial repeat_denied(const ClassSettings& query_class, const EarlierAttempt& earlier, const EngineEntry& to,
                      TimeUs now);
 
-// Whether a query may be refused after `earlier`: a refusal tells the client that it is safe to send the
-// query again.
+// Why a query may not be refused after `earlier`; kNone: it may. A refusal tells the client that it is safe
+// to send the query again.
 Denial refusal_denied(const ClassSettings& query_class, const EarlierAttempt& earlier);
 
 struct StartRequest {
@@ -71,11 +71,11 @@
   const Limits& limits;
 };
 
-// Whether an attempt may start now: its query has not ended, enough time is left, its engine is in service,
-// and the query's other attempts allow it.
+// Why an attempt may not start now; kNone: its query has not ended, enough time is left, its engine is in
+// service, and the query's other attempts allow it.
 Denial start_denied(const StartRequest& start, std::span<const EarlierAttempt> others, TimeUs now);
 
-// Whether this side may close a client's connection now.
+// Why this side may not close a client's connection now; kNone: it may.
 inline Denial close_denied(std::size_t requests_without_answer) {
   return requests_without_answer > 0 ? Denial::kAnswerOwed : Denial::kNone;
 }
--- a/tests/property/limits_property_test.cpp
+++ b/tests/property/limits_property_test.cpp
@@ -132,7 +132,7 @@
     query.deadline = now_ + request.time_budget;
     if (stated_.timeout_ms > 0) query.deadline = std::min(query.deadline, now_ + stated_.timeout_ms * kMs);
     by_reference_[request.reference] = tag;
-    requests_taken_.push_back(now_);
+    requests_accepted_.push_back(now_);
     apply(RequestArrived{static_cast<ClientId>(1 + tag / 8), tag, std::move(request), ""});
   }
 
@@ -157,8 +157,8 @@
 
   void apply(Event event) {
     for (SideEffect& effect : reducer_->apply(now_, std::move(event))) {
-      if (auto* start = std::get_if<StartCall>(&effect)) {
-        on_start_call(*start);
+      if (auto* send = std::get_if<StartCall>(&effect)) {
+        on_send_call(*send);
       } else if (auto* drop = std::get_if<DropCall>(&effect)) {
         on_drop(drop->call);
       } else if (auto* served = std::get_if<AnswerServed>(&effect)) {
@@ -182,13 +182,13 @@
     RC_ASSERT(!refusal || query.class_name != "once" || !query.may_have_run);
   }
 
-  void on_start_call(StartCall& start) {
-    if (start.kind == CallKind::kStart) on_attempt(start);
+  void on_send_call(StartCall& send) {
+    if (send.kind == CallKind::kStart) on_attempt(send);
     Event end;
     TimeUs end_at = now_ + 1 + static_cast<TimeUs>(random_() % 400) * kMs;
     const auto percent = random_() % 100;
     CallAnswer answer;
-    if (start.kind == CallKind::kGiveUp || start.kind == CallKind::kPriority) {
+    if (send.kind == CallKind::kGiveUp || send.kind == CallKind::kPriority) {
       answer.kind = Kind::kDone;
       end_at = now_ + kMs;
     } else if (percent < 55) {
@@ -199,32 +199,32 @@
       end_at = now_ + 250 * kMs;
     } else if (percent < 80) {
       answer.kind = Kind::kError;
-    } else if (percent < 86 && start.kind == CallKind::kStart) {
+    } else if (percent < 86 && send.kind == CallKind::kStart) {
       answer.kind = Kind::kFull;
     } else {
       const ConnectionEnd connection_end = percent < 92   ? ConnectionEnd::kRefused
                                            : percent < 97 ? ConnectionEnd::kResetUnanswered
                                                           : ConnectionEnd::kSilent;
-      pending_events_.emplace(connection_end == ConnectionEnd::kSilent ? start.answer_by : end_at,
-                              CallEnded{start.call, connection_end});
-      call_ends_at_[start.call] = connection_end == ConnectionEnd::kSilent ? start.answer_by : end_at;
-      record_run(start, connection_end != ConnectionEnd::kRefused);
-      if (connection_end == ConnectionEnd::kRefused && start.kind == CallKind::kStart)
-        refused_starts_[start.call] = {by_reference_.at(start.reference), now_};
+      pending_events_.emplace(connection_end == ConnectionEnd::kSilent ? send.answer_by : end_at,
+                              CallEnded{send.call, connection_end});
+      call_ends_at_[send.call] = connection_end == ConnectionEnd::kSilent ? send.answer_by : end_at;
+      record_run(send, connection_end != ConnectionEnd::kRefused);
+      if (connection_end == ConnectionEnd::kRefused && send.kind == CallKind::kStart)
+        refused_starts_[send.call] = {by_reference_.at(send.reference), now_};
       return;
     }
-    record_run(start, answer.kind != Kind::kFull);
-    call_ends_at_[start.call] = end_at;
-    pending_events_.emplace(end_at, CallAnswered{start.call, std::move(answer)});
+    record_run(send, answer.kind != Kind::kFull);
+    call_ends_at_[send.call] = end_at;
+    pending_events_.emplace(end_at, CallAnswered{send.call, std::move(answer)});
   }
 
-  void record_run(const StartCall& start, bool may_have_run) {
-    if (may_have_run && start.kind == CallKind::kStart)
-      queries_.at(by_reference_.at(start.reference)).may_have_run = true;
+  void record_run(const StartCall& send, bool may_have_run) {
+    if (may_have_run && send.kind == CallKind::kStart)
+      queries_.at(by_reference_.at(send.reference)).may_have_run = true;
   }
 
-  void on_attempt(const StartCall& start) {
-    QueryRecord& query = queries_.at(by_reference_.at(start.reference));
+  void on_attempt(const StartCall& send) {
+    QueryRecord& query = queries_.at(by_reference_.at(send.reference));
     ++query.started;
     ++query.attempts;
     RC_ASSERT(query.answers == 0);
@@ -232,7 +232,7 @@
     RC_ASSERT(stated_.attempts <= 0 || query.started <= stated_.attempts);
     RC_ASSERT(query.started - query.attempts <= kMaxUnsentAttempts);
     RC_ASSERT(query.class_name != "once" || query.started == 1 || !query.may_have_run);
-    query.open_attempts.insert(start.attempt);
+    query.open_attempts.insert(send.attempt);
     RC_ASSERT(query.open_attempts.size() <=
               (settings_.limits.second_copies && query.class_name != "once" ? 2U : 1U));
     if (query.started == 1) return;
@@ -246,13 +246,13 @@
       return static_cast<double>(times.size());
     };
     const double counted_further = in_window(counted_further_attempts_, true);
-    const double taken = in_window(requests_taken_, false);
-    RC_ASSERT(counted_further <= 2 + 0.2 * taken + 1e-9);  // rule 7
+    const double accepted = in_window(requests_accepted_, false);
+    RC_ASSERT(counted_further <= 2 + 0.2 * accepted + 1e-9);  // rule 7
     const double further = in_window(further_attempts_, true);
     if (stated_.overall_retry_floor >= 0)
-      RC_ASSERT(further <= stated_.overall_retry_floor + 0.1 * taken + 1e-9);
+      RC_ASSERT(further <= stated_.overall_retry_floor + 0.1 * accepted + 1e-9);
     if (stated_.retry_floor >= 0)
-      RC_ASSERT(further <= 3 * stated_.retry_floor + stated_.retry_share_percent / 100.0 * taken +
+      RC_ASSERT(further <= 3 * stated_.retry_floor + stated_.retry_share_percent / 100.0 * accepted +
                                1e-9);  // three routes
   }
 
@@ -301,7 +301,7 @@
   std::map<CallId, RefusedStart> refused_starts_;
   std::map<RequestTag, QueryRecord> queries_;
   std::map<std::string, RequestTag> by_reference_;
-  std::deque<TimeUs> requests_taken_;
+  std::deque<TimeUs> requests_accepted_;
   std::deque<TimeUs> further_attempts_;          // starts of attempts beyond each query's first
   std::deque<TimeUs> counted_further_attempts_;  // the same, without those whose connection was refused
 };
--- a/tests/unit/permission_test.cpp
+++ b/tests/unit/permission_test.cpp
@@ -120,8 +120,8 @@
   EXPECT_EQ(starts.instant_of("s", wall_now_plus(-kSecond), kWallNow, kNow), kNow - kSecond);
 }
 
-// Whichever way the clock is wrong: an engine that has just started is not taken for a warm one, and a warm
-// one is not avoided for long.
+// Whichever way the clock is wrong: an engine that has just started is not taken for one past its slow start,
+// and one that is past it is not avoided for long.
 TEST_F(EngineStart, WrongWallClockMovesAStartNoFurtherThanTheBound) {
   for (const TimeUs clock_error : {-3600 * kSecond, -3 * kSecond, 3 * kSecond, 3600 * kSecond}) {
     EngineStarts starts(rules);
