--- a/src/decision/decision.h
+++ b/src/decision/decision.h
@@ -38,21 +38,27 @@
 
 struct ClassSettings {
   std::string name;
-  TimeUs aim = 0;          // an answer within this, plus `aim_stretch`, has its full value
-  double aim_stretch = 0;  // added to the target: this multiple of the expected run time
-  TimeUs deadline = 0;     // the longest time budget of a query
+  // The latency target of a query, within which an answer has its full value: `aim` plus `aim_stretch` times
+  // the expected run time.
+  TimeUs aim = 0;
+  double aim_stretch = 0;
+  TimeUs deadline = 0;  // the longest time budget of a query
   Effect effect = Effect::kAtMostOnce;
   RepeatScope repeat_scope = RepeatScope::kAll;
-  TimeUs repeat_window = 0;  // from the send of an attempt: engines recognise a repeat for so long
-  double value = 1;          // of a query answered in time, relative to other classes
-  double late_worth = 0;     // part of `value` that an answer after the target still has
-  bool in_order = false;  // rule 5: queries of one key run one after another; settings with it are rejected
+  // Engines recognise a repeat for so long after the earlier attempt was sent.
+  TimeUs repeat_window = 0;
+  double value = 1;       // of a query answered in time, relative to other classes
+  double late_worth = 0;  // part of `value` that an answer after the target still has
+  // Queries of one key run one after another (rule 5). make_workload_budget() rejects it.
+  bool in_order = false;
   bool streaming = false;
   std::optional<std::vector<std::string>> zones;  // the only zones allowed, if given
   std::optional<std::vector<std::string>> kinds;  // the only machine kinds allowed, if given
   int threads = 1;                                // that a query uses on its engine
-  bool load = false;             // load queries: each blocks its table group on its engine while it runs
-  bool waits_for_loads = false;  // blocked on an engine while a load query blocks the table group there
+  // Load queries: each blocks its table group on its engine while it runs.
+  bool load = false;
+  // Blocked on an engine while a load query blocks the table group there.
+  bool waits_for_loads = false;
 };
 
 struct KindSettings {  // of machines that engines run on
@@ -75,8 +81,10 @@
   bool second_copies = false;  // a query may have more than one attempt in flight
   bool retry_after = false;    // refusals may say when to try again
   TimeUs max_retry_after = 0;
-  int max_attempts = 1;                // per query
-  bool unsent_attempts_count = false;  // the simulator's wire counts each send; engines see none of these
+  int max_attempts = 1;  // per query
+  // Attempts that were never sent count too. So in the simulator, whose wire counts each send; engines see
+  // nothing of them.
+  bool unsent_attempts_count = false;
 };
 
 // Rules that the deployment sets for all gateways; their numbers are those of docs/design.md.
