--- a/src/core/connection_end.cpp
+++ b/src/core/connection_end.cpp
@@ -123,7 +123,7 @@
   return true;
 }
 
-OutcomeKind outcome_of(ConnectionEnd end, bool started) {
+OutcomeKind outcome_of(ConnectionEnd end, bool may_have_started) {
   switch (end) {
     case ConnectionEnd::kSilent:
       return OutcomeKind::kTimeout;
@@ -132,13 +132,13 @@
     case ConnectionEnd::kDroppedUnsent:
     case ConnectionEnd::kDropped:
       return OutcomeKind::kCancelled;
-    // What we lacked or took back says nothing of the engine. Guards against engines that are taken for out
-    // of order, all of them at once, while this process is short of descriptors.
+    // A call that this process could not open a socket for, or withdrew, says nothing about the engine.
+    // Otherwise all engines at once would be taken for faulty while this process is short of descriptors.
     case ConnectionEnd::kNoDescriptor:
     case ConnectionEnd::kWithdrawn:
-      return started ? OutcomeKind::kReset : OutcomeKind::kMoot;
-    default:  // all others say only whether the query can have run
-      return started || may_have_arrived(end) ? OutcomeKind::kReset : OutcomeKind::kConnectFailed;
+      return may_have_started ? OutcomeKind::kReset : OutcomeKind::kMoot;
+    default:  // all others show only whether the query may have run
+      return may_have_started || may_have_arrived(end) ? OutcomeKind::kReset : OutcomeKind::kConnectFailed;
   }
 }
 
--- a/src/core/connection_end.h
+++ b/src/core/connection_end.h
@@ -1,4 +1,4 @@
-// Every way in which a connection, or a call on it, can end: one value of one type, mapped in one place.
+// Every way in which a connection, or a call on it, can end, and the one mapping of these ends to outcomes.
 #pragma once
 
 #include <cstddef>
@@ -9,44 +9,45 @@
 namespace orchidgw::core {
 
 enum class ConnectionEnd {
-  kRefused,           // the machine answered that nobody listens
-  kNotUpInTime,       // no connection within the settings' connect time-out
-  kUnreachable,       // the system found no way to the address
-  kNoDescriptor,      // none of ours was free in that time
+  kRefused,           // the host refused the connection: nothing listens on the port
+  kNotUpInTime,       // not connected within the configured connect timeout
+  kUnreachable,       // the operating system cannot reach the address
+  kNoDescriptor,      // this process had no file descriptor free within the connect timeout
   kResetUnsent,       // reset before the whole call was written
-  kResetUnanswered,   // reset after that, before the first byte of an answer
-  kResetMidAnswer,    // reset inside an answer
-  kClosedIdle,        // closed by the other side with no call on it
-  kClosedUnsent,      // closed by the other side before the whole call was written
-  kClosedUnanswered,  // closed by the other side, no byte of an answer
-  kClosedMidAnswer,   // closed by the other side inside an answer
-  kSilent,            // nothing came in the time that the call had
-  kUnreadable,        // what came breaks the protocol or its bounds
-  kDroppedUnsent,     // given up by us before the whole call was written
-  kDropped,           // given up by us after that
-  kIdleExpired,       // idle for long: closed by us
-  kAttemptOver,       // idle when the last call of its attempt had been answered: closed by us
-  kTooMuch,           // the other side asked for more, or held more, than its bounds: closed by us
-  kMadeRoom,          // idle or silent while others wait for its place: closed by us
-  kMoved,             // the other side is at another address now: closed by us
-  kShutDown,          // this process ends
-  kNoIntent,          // never sent: that it would be could not be stored
-  kKeyRests,          // never sent: another query of the fleet has its key, and may have run
-  kWithdrawn,         // never sent: its engine drains or is gone, or its client has left
+  kResetUnanswered,   // reset after the call was written, before the first byte of an answer
+  kResetMidAnswer,    // reset in the middle of an answer
+  kClosedIdle,        // closed by the peer while no call was in progress
+  kClosedUnsent,      // closed by the peer before the whole call was written
+  kClosedUnanswered,  // closed by the peer after that, before the first byte of an answer
+  kClosedMidAnswer,   // closed by the peer in the middle of an answer
+  kSilent,            // no data, or no whole answer, within the time allowed
+  kUnreadable,        // the data received violates the protocol or its size limits
+  kDroppedUnsent,     // abandoned by this process before the whole call was written
+  kDropped,           // abandoned by this process after that
+  kIdleExpired,       // closed by this process: idle for too long
+  kAttemptOver,       // closed by this process: idle, and its attempt needs no further call
+  kTooMuch,           // closed by this process: the peer exceeded a bound on its requests or buffers
+  kMadeRoom,          // closed by this process: idle or silent while new connections wait for a place
+  kMoved,             // closed by this process: the peer has a new address
+  kShutDown,          // this process shuts down
+  kNoIntent,          // never sent: the intent to send it could not be stored
+  kKeyRests,          // never sent: another query in the fleet holds its key and may have run
+  kWithdrawn,         // never sent: its engine drains or is gone, or its client has disconnected
 };
 inline constexpr std::size_t kConnectionEnds = static_cast<std::size_t>(ConnectionEnd::kWithdrawn) + 1;
 
-// What counters call the two.
+// The names under which the counters are printed: of outcomes, connection ends and denials.
 metrics::Names counter_names();
 
 const char* name_of(ConnectionEnd end);
 const char* name_of(OutcomeKind kind);
 
-// Whether the call that ended so can have come whole to the other side.
+// Whether the peer may have received the whole of a call that ended this way.
 bool may_have_arrived(ConnectionEnd end);
 
-// What an attempt's end means to the module. `started`: the engine may have the query from an earlier call,
-// so no end of a later one can prove that it never ran.
-OutcomeKind outcome_of(ConnectionEnd end, bool started);
+// The outcome that the decision module is told when a call of an attempt ends this way. With
+// `may_have_started`, the engine may have the query from an earlier call: the end of a later call then cannot
+// prove that the query never ran.
+OutcomeKind outcome_of(ConnectionEnd end, bool may_have_started);
 
 }  // namespace orchidgw::core
--- a/src/core/effects.h
+++ b/src/core/effects.h
@@ -1,4 +1,4 @@
-// What the reducer asks of its adapters.
+// The side effects that the reducer asks its adapters for.
 #pragma once
 
 #include <string>
@@ -10,34 +10,35 @@
 
 namespace orchidgw::core {
 
-// Call the engine. Every such call is followed by exactly one CallAnswered or CallEnded.
+// Sends a call to an engine, of any kind. Exactly one CallAnswered or CallEnded follows each.
 struct StartCall {
   CallId call = 0;
-  AttemptId attempt = 0;  // whose calls alone share a connection
+  AttemptId attempt = 0;  // connections are shared only by calls of one attempt
   CallKind kind = CallKind::kNews;
   EngineId engine;
   Address address;
   std::string reference;
-  int page = 0;            // of kPage
-  int priority = 1;        // of kStart and kPriority
-  std::string class_name;  // of kStart, as are those below
+  int page = 0;            // with kPage
+  int priority = 1;        // with kStart and kPriority
+  std::string class_name;  // with kStart, like all fields below except answer_by
   std::string idempotency_key;
   std::string statement;
-  // Of a query that must not run twice, where that is kept: who it is, and how long it rests once sent.
+  // Set where this process records what must not run twice: the id of the query, its key (empty: it may run
+  // twice), and how long that key is held once the query is sent.
   QueryId query = 0;
   std::string identity;
   TimeUs rest = 0;
   double grant_mb = 0;
-  TimeUs stop_at = 0;    // the controller waits for the query until then
-  TimeUs answer_by = 0;  // a call that has no whole answer by then is silent
+  TimeUs stop_at = 0;    // the controller waits for the query's result until then
+  TimeUs answer_by = 0;  // without a whole answer by then, the call ends as kSilent
 };
 
-// Give a call up. It ends as dropped, unless its end is on the way already.
+// Abandons a call. It ends as dropped, unless its answer or its end is under way already.
 struct DropCall {
   CallId call = 0;
 };
 
-// Give a call up unless its first byte is on its way: then it goes on as if this had not been asked.
+// Withdraws a call that has not been sent. Has no effect once its first byte is on its way.
 struct WithdrawCall {
   CallId call = 0;
 };
@@ -51,30 +52,30 @@
 struct AnswerRefused {
   ClientId client = 0;
   RequestTag tag = 0;
-  TimeUs retry_after = 0;  // 0: no advice
+  TimeUs retry_after = 0;  // how long the client should wait before it tries again; 0: not told
 };
 
 struct AnswerFailed {
   ClientId client = 0;
   RequestTag tag = 0;
   std::string why;
-  bool unusable = false;  // the request was never taken: the client's own fault
+  bool unusable = false;  // the request was invalid and never accepted
 };
 
-// A query is over of which nothing ran: who it was may be sent again.
+// A query is over and nothing of it ran: its key is released, so that the client may send it again.
 struct FreeKey {
   QueryId query = 0;
   std::string identity;
 };
 
-// The request can't be taken: it breaks the rules of the connection.
+// The request breaks the rules of its connection and is not accepted.
 struct AnswerRejected {
   ClientId client = 0;
   RequestTag tag = 0;
   std::string why;
 };
 
-// No further call of the attempt goes over the connection that it has.
+// Closes the attempt's idle connection, if it has one: no further call of the attempt may use it.
 struct CloseConnection {
   AttemptId attempt = 0;
 };
--- a/src/core/engine_listing.h
+++ b/src/core/engine_listing.h
@@ -1,4 +1,4 @@
-// One engine as the list gives it: what the module is told, and where it listens.
+// One entry of the engine list: what the decision module is told about the engine, and its address.
 #pragma once
 
 #include <cstdint>
@@ -17,9 +17,9 @@
 };
 
 struct EngineListing {
-  EngineEntry entry;  // `started_at` is set when the listing is heard (decision/engine_starts.h)
+  EngineEntry entry;  // `started_at` is set when the listing is received (decision/engine_starts.h)
   Address address;
-  std::optional<WallTime> up_since;  // as published; none: a long time back
+  std::optional<WallTime> up_since;  // start time as published; nullopt: long ago
 };
 
 }  // namespace orchidgw::core
--- a/src/core/events.h
+++ b/src/core/events.h
@@ -1,4 +1,5 @@
-// What happens to a controller, in neutral terms. Adapters make these; the reducer alone acts on them.
+// The events that reach a controller, independent of any protocol. Adapters create them; only the reducer
+// acts on them.
 #pragma once
 
 #include <cstdint>
@@ -20,21 +21,21 @@
 namespace orchidgw::core {
 
 using ClientId = std::uint64_t;   // one client connection
-using RequestTag = std::int32_t;  // the client's own number of a request on its connection
+using RequestTag = std::int32_t;  // the sequence number that a client gave a request on its connection
 using CallId = std::uint64_t;     // one call to an engine
-using AttemptId = std::uint64_t;  // one attempt of a query at an engine: all its calls
+using AttemptId = std::uint64_t;  // one attempt to run a query on an engine, with all its calls
 
-// What a client asks for; the adapter has checked its form.
+// A client's request; the adapter has checked its syntax.
 struct ClientRequest {
   std::string class_name;
-  std::string reference;  // the client's id of the query, passed on unchanged
+  std::string reference;  // the client's id of the query, passed to engines unchanged
   std::string tenant;
   std::string idempotency_key;  // empty: none
   std::string statement;
-  TimeUs time_budget = 0;
-  TimeUs cost_estimate = 0;
-  double memory_mb = 0;
-  bool repeat = false;
+  TimeUs time_budget = 0;    // how long the client waits for the answer
+  TimeUs cost_estimate = 0;  // estimated CPU time, summed over threads; 0: none
+  double memory_mb = 0;      // estimate; 0: none
+  bool repeat = false;       // the client says that it has sent this query before
 };
 
 struct EnginesChanged {
@@ -45,9 +46,9 @@
 struct RequestArrived {
   ClientId client = 0;
   RequestTag tag = 0;
-  std::optional<ClientRequest> request;  // none: it can't be used
-  std::string why;                       // then: what is wrong with it
-  Reason refuse_as = Reason::kNone;      // its connection takes no new query: it is refused at once
+  std::optional<ClientRequest> request;  // nullopt: the request is invalid
+  std::string why;                       // if so, what is wrong with it
+  Reason refuse_as = Reason::kNone;  // not kNone: refuse it at once, as its connection accepts no new query
 };
 
 struct RequestAborted {
@@ -59,17 +60,21 @@
   ClientId client = 0;
 };
 
+// Start a query, ask for its state, fetch a page of its result, change its priority, or stop it.
 enum class CallKind { kStart, kNews, kPage, kPriority, kGiveUp };
 
 // How an engine answered a call.
 struct CallAnswer {
+  // kServed: the query succeeded; its first page is here. kPage: the page that was asked for. kNotYet: the
+  // query still runs. kFull: the engine had no room and did not start it. kOver: its time was over before the
+  // engine started it. kDone: a change of priority or a stop was received.
   enum class Kind { kServed, kPage, kNotYet, kFull, kOver, kError, kDone };
   Kind kind = Kind::kError;
-  PayloadPtr rows;  // of kServed (page 0) and kPage
-  int pages = 0;    // of kServed: all pages
-  int page = 0;     // of kPage: its number
-  std::optional<TimeUs> told_cost;
-  std::optional<double> told_memory_mb;
+  PayloadPtr rows;                       // with kServed (page 0) and kPage
+  int pages = 0;                         // with kServed: the number of pages of the result
+  int page = 0;                          // with kPage: the page's number, from 0
+  std::optional<TimeUs> told_cost;       // CPU time that the query took, as the engine reported it
+  std::optional<double> told_memory_mb;  // memory that it needed, likewise
 };
 
 struct CallAnswered {
@@ -77,31 +82,32 @@
   CallAnswer answer;
 };
 
+// A call ended without an answer that can be used.
 struct CallEnded {
   CallId call = 0;
   ConnectionEnd end = ConnectionEnd::kClosedUnanswered;
 };
 
-struct TimePassed {};  // timers that are due fire
+struct TimePassed {};  // fires the timers that are due
 
-// A file's limits and levels are in force from now on.
+// The limits and service levels of an operator's file take effect.
 struct LimitsChanged {
-  std::shared_ptr<const limits::LimitSet> set;
-  std::shared_ptr<const service_level::LevelFile> levels = nullptr;  // null: none
+  std::shared_ptr<const limits::LimitSet> set;                       // null: the limits stay as they are
+  std::shared_ptr<const service_level::LevelFile> levels = nullptr;  // null: no service levels
 };
 
-// An operator set a level by hand, until then.
+// An operator set a service level by hand.
 struct LevelSet {
   std::string level;
-  TimeUs until = 0;
+  TimeUs until = 0;  // when the level is chosen automatically again
 };
 
-// A planned shutdown has begun: every request has its final answer by then.
+// A planned shutdown has begun.
 struct ShutdownBegun {
-  TimeUs answer_by = 0;
+  TimeUs answer_by = 0;  // every request has its final answer by then
 };
 
-// What a fleet leaves this controller, from now on.
+// This controller's share of what its fleet divides, from now on.
 struct FleetShared {
   FleetShare module;
   limits::FleetLimits limits;
--- a/src/core/keys.h
+++ b/src/core/keys.h
@@ -1,4 +1,4 @@
-// What is known of a query that must not run twice, before it is taken on.
+// What is known about a query that must not run twice, before it is accepted.
 #pragma once
 
 #include "decision/decision.h"
@@ -7,11 +7,12 @@
 
 enum class KeyVerdict {
   kNew,
-  kMayHaveRun,  // sent by a process before this one, and its window is not over
-  kNoRoom       // no intent can be kept: it must not be sent
+  kMayHaveRun,  // a previous process sent it, and the time for which its key is held is not over
+  kNoRoom       // the intent to send it cannot be stored now: it must not be sent
 };
 
-// How long a query of that class rests once sent: as long as engines remember it, else as long as it may run.
+// How long the key of a query of that class is held once the query is sent, so that it is not sent again: the
+// class's repeat window, for which engines remember a query, or its deadline where there is no such window.
 inline TimeUs rest_of(const ClassSettings& c) { return c.repeat_window > 0 ? c.repeat_window : c.deadline; }
 
 }  // namespace orchidgw::core
--- a/src/core/parse_number.h
+++ b/src/core/parse_number.h
@@ -1,4 +1,4 @@
-// A whole text as a number; nothing if any of it is not.
+// Converts a text to a number; nullopt unless the entire text is that number.
 #pragma once
 
 #include <charconv>
@@ -9,15 +9,16 @@
 
 namespace orchidgw::core {
 
-template <typename Whole>
-std::optional<Whole> parse_whole(std::string_view text, int base = 10) {
-  Whole value = 0;
+template <typename Integer>
+std::optional<Integer> parse_whole(std::string_view text, int base = 10) {
+  Integer value = 0;
   const char* last = text.data() + text.size();
   const auto [end, error] = std::from_chars(text.data(), last, value, base);
   if (error != std::errc() || end != last) return std::nullopt;
   return value;
 }
 
+// Also nullopt for infinities and NaN.
 inline std::optional<double> parse_finite(std::string_view text) {
   double value = 0;
   const char* last = text.data() + text.size();
--- a/src/core/payload.h
+++ b/src/core/payload.h
@@ -1,4 +1,4 @@
-// Bytes that pass through the core unread: a page of rows. The adapter that made them knows what they are.
+// An opaque page of rows. The core passes it on unread; only the adapter that created it knows its type.
 #pragma once
 
 #include <cstddef>
@@ -12,7 +12,7 @@
   Payload(const Payload&) = delete;
   Payload& operator=(const Payload&) = delete;
   virtual ~Payload() = default;
-  virtual std::size_t size() const = 0;
+  virtual std::size_t size() const = 0;  // in bytes
 };
 
 using PayloadPtr = std::unique_ptr<Payload>;
--- a/src/core/table_group.h
+++ b/src/core/table_group.h
@@ -1,5 +1,5 @@
-// What a statement reads or writes: the group of tables, which is the number behind the underscore in its
-// schema's name, and its first table.
+// Finds the tables that an SQL statement reads or writes: its table group, which is the number after the last
+// underscore of a schema's name, and its first table.
 #pragma once
 
 #include <cstdint>
@@ -8,8 +8,8 @@
 
 namespace orchidgw::core {
 
-// 17 for "select * from sales_17.orders". Strings, comments and the schema `staging` don't count. 0: none
-// named, as the simulator's adapter has it where the group is absent.
+// 17 for "select * from sales_17.orders". String literals, comments and the schema `staging` are ignored. 0
+// if the statement names no group, as the simulator's adapter has it where the group is absent.
 std::int64_t table_group_of(std::string_view statement);
 
 struct TableUse {
@@ -17,7 +17,7 @@
   std::string table;  // "schema.table" or "table", in lower case; empty: none found
 };
 
-// The group as above, and the first table that a table list names outside the schema `staging`.
+// The group as above, and the first table outside the schema `staging` that a table list names.
 TableUse table_use_of(std::string_view statement);
 
 }  // namespace orchidgw::core
--- a/src/core/timer_queue.h
+++ b/src/core/timer_queue.h
@@ -1,4 +1,5 @@
-// Timers in order of their time, then of their setting. Timers are not withdrawn; unwanted ones are ignored.
+// A queue of timers, ordered by due time and then by the order in which they were set. A timer cannot be
+// cancelled: its owner ignores one that it no longer needs.
 #pragma once
 
 #include <cstdint>
@@ -11,22 +12,23 @@
 
 namespace orchidgw::core {
 
-template <typename What>
+template <typename Value>
 class TimerQueue {
  public:
-  void set(TimeUs due, What what) { heap_.push(Timer{due, ++order_, std::move(what)}); }
+  void set(TimeUs due, Value value) { heap_.push(Timer{due, ++last_sequence_, std::move(value)}); }
 
   std::optional<TimeUs> next_due() const {
     if (heap_.empty()) return std::nullopt;
     return heap_.top().due;
   }
 
-  // The next timer that is due, with the time it was set for; nothing if none is.
-  std::optional<std::pair<TimeUs, What>> pop_due(TimeUs now) {
+  // Removes the first timer that is due, and returns the time it was set for with its value; nullopt if none
+  // is due.
+  std::optional<std::pair<TimeUs, Value>> pop_due(TimeUs now) {
     if (heap_.empty() || heap_.top().due > now) return std::nullopt;
-    std::pair<TimeUs, What> out{heap_.top().due, heap_.top().what};
+    std::pair<TimeUs, Value> popped{heap_.top().due, heap_.top().value};
     heap_.pop();
-    return out;
+    return popped;
   }
 
   std::size_t size() const { return heap_.size(); }
@@ -34,14 +36,15 @@
  private:
   struct Timer {
     TimeUs due;
-    std::uint64_t order;
-    What what;
+    std::uint64_t sequence;
+    Value value;
+    // Reversed: the top of a std::priority_queue is its greatest element.
     bool operator<(const Timer& other) const {
-      return std::pair(due, order) > std::pair(other.due, other.order);
+      return std::pair(due, sequence) > std::pair(other.due, other.sequence);
     }
   };
   std::priority_queue<Timer> heap_;
-  std::uint64_t order_ = 0;
+  std::uint64_t last_sequence_ = 0;
 };
 
 }  // namespace orchidgw::core
