--- a/tests/reducer/levels_test.cpp
+++ b/tests/reducer/levels_test.cpp
@@ -1,4 +1,5 @@
-// Reduced service on the path of a query: the reducer, the levels and the real module together.
+// Reduced service levels and what they do to queries: the reducer, the levels and the real decision module
+// together.
 #include "operator_file/operator_file.h"
 #include "reducer_fixture.h"
 
@@ -15,7 +16,7 @@
     settings.classes.push_back(report);
   }
 
-  void levels(const std::string& enter, const std::string& effects) {
+  void apply_levels(const std::string& enter, const std::string& effects) {
     const auto read = operator_file::read_operator_file(
         "version: 1\nlevels:\n  list:\n  - name: reduced\n    enter: " + enter +
         "\n    leave: {signal: slowdown, below: 1.5, for: 1s}\n    least_stay: 2s\n    effects: " + effects +
@@ -24,27 +25,27 @@
     apply(LimitsChanged{nullptr, std::make_shared<const service_level::LevelFile>(read.file.levels)});
   }
 
-  void serve(RequestTag tag, TimeUs after) {
+  void serve(RequestTag tag, TimeUs latency) {
     request(tag);
-    run_until(now + after);
-    answer(last().call, Kind::kServed, "x\n", 1);
+    run_until(now + latency);
+    answer(last_call().call, Kind::kServed, "x\n", 1);
   }
 
-  void drain(int i) {
+  void drain(int number) {
     EnginesChanged change;
-    change.engines = {engine(i, EngineState::kDraining)};
+    change.engines = {engine(number, EngineState::kDraining)};
     apply(std::move(change));
   }
 
-  std::uint64_t shed() const { return counters.refusals[static_cast<std::size_t>(Reason::kShed)]; }
+  std::uint64_t shed_count() const { return counters.refusals[static_cast<std::size_t>(Reason::kShed)]; }
 };
 
 const char* const kSlow = "{signal: slowdown, above: 3, for: 500ms, over: 10s}";
 const char* const kFewEngines = "{signal: in_service, below: 90%, for: 300ms}";
 
 TEST_F(LevelsTest, SlowAnswersBringReducedServiceAndQuickOnesTakeItBack) {
-  begin();
-  levels(kSlow, "{shed: [{class: report}]}");
+  start_reducer();
+  apply_levels(kSlow, "{shed: [{class: report}]}");
   RequestTag tag = 0;
   for (int i = 0; i < 30 && !reducer->levels().sheds_any(); ++i) serve(++tag, 600 * kMs);
   ASSERT_TRUE(reducer->levels().sheds_any());
@@ -52,7 +53,7 @@
   ASSERT_EQ(answers[tag].size(), 1U);
   EXPECT_EQ(answers[tag][0].substr(0, 8), "refused ");
   EXPECT_GE(std::stoll(answers[tag][0].substr(8)), 250 * kMs);
-  EXPECT_EQ(shed(), 1U);
+  EXPECT_EQ(shed_count(), 1U);
   serve(++tag, 10 * kMs);  // lookups go on
   EXPECT_EQ(answers[tag], std::vector<std::string>{"served x\n"});
   for (int i = 0; i < 2'000 && reducer->levels().sheds_any(); ++i) serve(++tag, 50 * kMs);
@@ -62,24 +63,24 @@
 }
 
 TEST_F(LevelsTest, ThoseThatWaitAreAnsweredAtOnceWhenALevelShedsThem) {
-  begin(0);  // nothing can be sent
-  levels("{signal: line_length, above: 2, for: 300ms, over: 1s}", "{shed: [{class: report}]}");
+  start_reducer(0);  // nothing can be sent
+  apply_levels("{signal: line_length, above: 2, for: 300ms, over: 1s}", "{shed: [{class: report}]}");
   for (RequestTag tag = 1; tag <= 6; ++tag) request(tag, tag <= 3 ? "report" : "lookup");
   EXPECT_TRUE(answers.empty());
   for (int i = 0; i < 20 && answers.empty(); ++i) run_until(now + 50 * kMs);
   for (RequestTag tag = 1; tag <= 3; ++tag) EXPECT_EQ(answers[tag].size(), 1U) << tag;
   for (RequestTag tag = 4; tag <= 6; ++tag) EXPECT_EQ(answers.count(tag), 0U) << tag;
-  EXPECT_EQ(shed(), 3U);
+  EXPECT_EQ(shed_count(), 3U);
   run_until(now + 10 * kSecond);
   for (RequestTag tag = 1; tag <= 6; ++tag) EXPECT_EQ(answers[tag].size(), 1U) << tag;
   EXPECT_EQ(reducer->queries(), 0U);
 }
 
-TEST_F(LevelsTest, WhatIsOutGoesOnWhenItsClassIsShed) {
-  begin();
-  levels(kFewEngines, "{shed: [{class: report}]}");
+TEST_F(LevelsTest, ARunningQueryGoesOnWhenItsClassIsShed) {
+  start_reducer();
+  apply_levels(kFewEngines, "{shed: [{class: report}]}");
   request(1, "report");
-  const StartCall call = last();
+  const StartCall call = last_call();
   drain(call.engine == "s-0" ? 1 : 0);
   run_until(now + 1 * kSecond);
   ASSERT_TRUE(reducer->levels().sheds_any());
@@ -91,8 +92,8 @@
 
 TEST_F(LevelsTest, WithoutRetryAfterInTheSettingsNoTimeIsTold) {
   settings.limits.retry_after = false;
-  begin();
-  levels(kFewEngines, "{shed: [{class: report}]}");
+  start_reducer();
+  apply_levels(kFewEngines, "{shed: [{class: report}]}");
   drain(1);
   run_until(now + 1 * kSecond);
   request(1, "report");
@@ -102,8 +103,8 @@
 TEST_F(LevelsTest, GrantsAndPrioritiesAreReduced) {
   settings.grants = true;
   settings.priorities = true;
-  begin();
-  levels(kFewEngines, "{grants: 50%, priority: -3}");
+  start_reducer();
+  apply_levels(kFewEngines, "{grants: 50%, priority: -3}");
   serve(1, 100 * kMs);
   const double before = calls.front().grant_mb;
   EXPECT_GT(before, 0);
@@ -111,12 +112,12 @@
   run_until(now + 1 * kSecond);
   ASSERT_EQ(reducer->levels().general_level(), "reduced");
   request(2);
-  EXPECT_LT(last().grant_mb, 0.8 * before);
-  EXPECT_EQ(last().priority, 0);
+  EXPECT_LT(last_call().grant_mb, 0.8 * before);
+  EXPECT_EQ(last_call().priority, 0);
 }
 
 TEST_F(LevelsTest, WithoutLevelsNoSamplesAreTaken) {
-  begin(0);
+  start_reducer(0);
   apply(LimitsChanged{nullptr, nullptr});
   EXPECT_FALSE(reducer->levels().on());
   EXPECT_TRUE(reducer->levels().time_in().empty());
--- a/tests/reducer/reducer_fixture.h
+++ b/tests/reducer/reducer_fixture.h
@@ -1,4 +1,5 @@
-// The reducer on a clock moved by hand, with the real module behind it and calls answered by the test.
+// Fixture: a reducer with the real decision module, on a clock that the test advances. The test answers the
+// calls to engines.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -14,7 +15,7 @@
 inline constexpr TimeUs kMs = 1000;
 inline constexpr TimeUs kSecond = 1'000'000;
 
-// Rows as the reducer sees them: only their size.
+// A page of rows as text. The reducer only asks for its size.
 class TextPayload final : public Payload {
  public:
   explicit TextPayload(std::string rows) : text(std::move(rows)) {}
@@ -46,7 +47,7 @@
     settings.tells_cost = true;
   }
 
-  void begin(int engines = 2) {
+  void start_reducer(int engines = 2) {
     reducer = std::make_unique<Reducer>(settings, 1, counters);
     EnginesChanged change;
     change.kind = ListKind::kStored;
@@ -54,12 +55,12 @@
     apply(std::move(change));
   }
 
-  static EngineListing engine(int i, EngineState state = EngineState::kInService) {
+  static EngineListing engine(int number, EngineState state = EngineState::kInService) {
     EngineListing listing;
-    listing.entry.id = "s-" + std::to_string(i);
+    listing.entry.id = "s-" + std::to_string(number);
     listing.entry.kind = "std";
     listing.entry.state = state;
-    listing.address = {"127.0.0." + std::to_string(i + 1), 9000};
+    listing.address = {"127.0.0." + std::to_string(number + 1), 9000};
     return listing;
   }
 
@@ -89,45 +90,48 @@
 
   void request(RequestTag tag, const std::string& class_name = "lookup", TimeUs budget = 5 * kSecond,
                ClientId client = kClient) {
-    apply(RequestArrived{client, tag, usable(tag, class_name, budget, client), ""});
+    apply(RequestArrived{client, tag, valid_request(tag, class_name, budget, client), ""});
   }
 
-  static ClientRequest usable(RequestTag tag, const std::string& class_name = "lookup",
-                              TimeUs budget = 5 * kSecond, ClientId client = kClient) {
-    ClientRequest r;
-    r.class_name = class_name;
-    r.reference = std::to_string(1'000'000'000'000'000 + static_cast<std::int64_t>(client) * 1'000'000 + tag);
-    r.statement = "select * from sales_3.orders";
-    r.time_budget = budget;
-    r.cost_estimate = 100 * kMs;
-    r.memory_mb = 10;
-    return r;
+  static ClientRequest valid_request(RequestTag tag, const std::string& class_name = "lookup",
+                                     TimeUs budget = 5 * kSecond, ClientId client = kClient) {
+    ClientRequest client_request;
+    client_request.class_name = class_name;
+    client_request.reference =
+        std::to_string(1'000'000'000'000'000 + static_cast<std::int64_t>(client) * 1'000'000 + tag);
+    client_request.statement = "select * from sales_3.orders";
+    client_request.time_budget = budget;
+    client_request.cost_estimate = 100 * kMs;
+    client_request.memory_mb = 10;
+    return client_request;
   }
 
-  // Moves the clock on, firing timers when they are due.
-  void run_until(TimeUs t) {
-    while (reducer->next_due() && *reducer->next_due() <= t) {
+  // Advances the clock to `end` and fires each timer at the time it is due.
+  void run_until(TimeUs end) {
+    while (reducer->next_due() && *reducer->next_due() <= end) {
       now = std::max(now, *reducer->next_due());
       apply(TimePassed{});
     }
-    now = t;
+    now = end;
   }
 
-  // The last call that was made; each test answers its calls in turn.
-  StartCall& last() { return calls.back(); }
+  // The most recent call to an engine.
+  StartCall& last_call() { return calls.back(); }
 
   void answer(CallId call, CallAnswer::Kind kind, const std::string& rows = "", int pages = 0, int page = 0) {
-    CallAnswer a;
-    a.kind = kind;
-    a.pages = pages;
-    a.page = page;
-    if (!rows.empty()) a.rows = std::make_unique<TextPayload>(rows);
-    apply(CallAnswered{call, std::move(a)});
+    CallAnswer call_answer;
+    call_answer.kind = kind;
+    call_answer.pages = pages;
+    call_answer.page = page;
+    if (!rows.empty()) call_answer.rows = std::make_unique<TextPayload>(rows);
+    apply(CallAnswered{call, std::move(call_answer)});
   }
 
-  void broke(CallId call, ConnectionEnd end) { apply(CallEnded{call, end}); }
+  void end_call(CallId call, ConnectionEnd end) { apply(CallEnded{call, end}); }
 
-  std::uint64_t outcomes(OutcomeKind kind) const { return counters.outcomes[static_cast<std::size_t>(kind)]; }
+  std::uint64_t outcome_count(OutcomeKind kind) const {
+    return counters.outcomes[static_cast<std::size_t>(kind)];
+  }
 
   Settings settings;
   metrics::Counters counters;
@@ -137,7 +141,7 @@
   std::vector<CallId> dropped;
   std::vector<CallId> withdrawn;
   std::map<RequestTag, std::vector<std::string>> answers;
-  std::vector<AttemptId> closed;  // whose connections are not used any more
+  std::vector<AttemptId> closed;  // attempts whose connections were closed
 };
 
 }  // namespace orchidgw::core
--- a/tests/reducer/shutdown_test.cpp
+++ b/tests/reducer/shutdown_test.cpp
@@ -1,4 +1,4 @@
-// Requests in a planned shutdown: each has its final answer by the schedule's time.
+// Requests during a planned shutdown: each has its final answer by the time that the schedule sets.
 #include "decision/shutdown_schedule.h"
 #include "reducer_fixture.h"
 
@@ -7,11 +7,11 @@
 
 using Kind = CallAnswer::Kind;
 
-ShutdownSchedule schedule_for(TimeUs longest) {
+ShutdownSchedule schedule_for(TimeUs longest_deadline) {
   ClassSettings short_class;
-  short_class.deadline = longest / 2;
+  short_class.deadline = longest_deadline / 2;
   ClassSettings long_class;
-  long_class.deadline = longest;
+  long_class.deadline = longest_deadline;
   return shutdown_schedule(std::vector{short_class, long_class}, 10 * kSecond);
 }
 
@@ -33,11 +33,11 @@
 
 class ShutdownReducer : public ReducerTest {
  protected:
-  void shut_down_in(TimeUs span) { apply(ShutdownBegun{now + span}); }
+  void shut_down_in(TimeUs delay) { apply(ShutdownBegun{now + delay}); }
 };
 
 TEST_F(ShutdownReducer, WhatIsOpenIsAnsweredByItsEnd) {
-  begin(1);
+  start_reducer(1);
   request(1);
   request(2, "once");
   for (const StartCall& call : std::vector(calls)) answer(call.call, Kind::kNotYet);
@@ -50,28 +50,28 @@
 }
 
 TEST_F(ShutdownReducer, AnAnswerBeforeItsEndIsTheOnlyOne) {
-  begin(1);
+  start_reducer(1);
   request(1);
   shut_down_in(kSecond);
-  answer(last().call, Kind::kServed, "x\n", 1);
+  answer(last_call().call, Kind::kServed, "x\n", 1);
   run_until(now + 20 * kSecond);
   EXPECT_EQ(answers[1], std::vector<std::string>{"served x\n"});
 }
 
 TEST_F(ShutdownReducer, ANewRequestHasTheTimeThatIsLeft) {
-  begin(1);
+  start_reducer(1);
   shut_down_in(kSecond);
   request(1, "lookup", 5 * kSecond);
-  ASSERT_EQ(last().kind, CallKind::kStart);
-  EXPECT_LE(last().stop_at, now + kSecond);
+  ASSERT_EQ(last_call().kind, CallKind::kStart);
+  EXPECT_LE(last_call().stop_at, now + kSecond);
   run_until(now + kSecond);
   EXPECT_EQ(answers[1], std::vector<std::string>{"refused 500000"});
 }
 
 TEST_F(ShutdownReducer, ARequestAfterItsEndOrOnADrainingConnectionIsRefusedAndNotStarted) {
-  begin(1);
+  start_reducer(1);
   shut_down_in(kSecond);
-  apply(RequestArrived{kClient, 1, usable(1), "", Reason::kShutDown});
+  apply(RequestArrived{kClient, 1, valid_request(1), "", Reason::kShutDown});
   run_until(now + kSecond);
   request(2, "once");
   EXPECT_TRUE(calls.empty());
--- a/tests/reducer/withdrawal_test.cpp
+++ b/tests/reducer/withdrawal_test.cpp
@@ -1,4 +1,5 @@
-// Starts that were chosen and whose first byte is not out yet, when their engine or their client leaves.
+// Attempts whose first byte has not been sent when their engine drains or is gone, or their client
+// disconnects.
 #include "reducer_fixture.h"
 
 namespace orchidgw::core {
@@ -8,110 +9,112 @@
 
 class Withdrawal : public ReducerTest {
  protected:
-  void tell(int i, EngineState state) {
+  void set_engine_state(int number, EngineState state) {
     EnginesChanged change;
-    change.engines.push_back(engine(i, state));
+    change.engines.push_back(engine(number, state));
     apply(std::move(change));
   }
 
-  static int number_of(const EngineId& id) { return id.back() - '0'; }
+  static int engine_number(const EngineId& id) { return id.back() - '0'; }
 };
 
-// Guards against a first byte long after the drain was told: the connection was slow to come up.
+// Guards against a query that reaches an engine long after its drain was announced, because its connection
+// was slow to come up.
 TEST_F(Withdrawal, AStartIsTakenBackWhenItsEngineDrains) {
   for (const EngineState state : {EngineState::kDraining, EngineState::kGone}) {
     calls.clear();
     withdrawn.clear();
     answers.clear();
-    begin();
+    start_reducer();
     request(1, "once");
-    const StartCall first = last();
-    tell(number_of(first.engine), state);
+    const StartCall first = last_call();
+    set_engine_state(engine_number(first.engine), state);
     ASSERT_EQ(withdrawn, std::vector<CallId>{first.call});
-    broke(first.call, ConnectionEnd::kWithdrawn);  // it never ran: even this class may go elsewhere
-    ASSERT_EQ(last().kind, CallKind::kStart);
-    EXPECT_NE(last().engine, first.engine);
-    answer(last().call, Kind::kServed, "x\n", 1);
+    // It never ran: even a query of this class may go to another engine.
+    end_call(first.call, ConnectionEnd::kWithdrawn);
+    ASSERT_EQ(last_call().kind, CallKind::kStart);
+    EXPECT_NE(last_call().engine, first.engine);
+    answer(last_call().call, Kind::kServed, "x\n", 1);
     EXPECT_EQ(answers[1], std::vector<std::string>{"served x\n"});
   }
 }
 
 TEST_F(Withdrawal, AStartIsLeftAloneWhenAnotherEngineDrains) {
-  begin();
+  start_reducer();
   request(1);
-  tell(1 - number_of(last().engine), EngineState::kDraining);
+  set_engine_state(1 - engine_number(last_call().engine), EngineState::kDraining);
   EXPECT_TRUE(withdrawn.empty());
 }
 
 TEST_F(Withdrawal, WhatRunsIsLeftAloneWhenItsEngineDrains) {
-  begin();
+  start_reducer();
   request(1);
-  answer(last().call, Kind::kNotYet);
-  ASSERT_EQ(last().kind, CallKind::kNews);
-  tell(number_of(last().engine), EngineState::kDraining);
+  answer(last_call().call, Kind::kNotYet);
+  ASSERT_EQ(last_call().kind, CallKind::kNews);
+  set_engine_state(engine_number(last_call().engine), EngineState::kDraining);
   EXPECT_TRUE(withdrawn.empty());
-  answer(last().call, Kind::kServed, "x\n", 1);
+  answer(last_call().call, Kind::kServed, "x\n", 1);
   EXPECT_EQ(answers[1], std::vector<std::string>{"served x\n"});
 }
 
-// Guards against an engine that is taken for out of order because a send to it was taken back.
-TEST_F(Withdrawal, SaysNothingOfTheEngine) {
-  begin(1);
+// Guards against an engine that is taken for faulty because a call to it was withdrawn.
+TEST_F(Withdrawal, AWithdrawnStartIsNotCountedAgainstItsEngine) {
+  start_reducer(1);
   request(1);
-  const StartCall first = last();
+  const StartCall first = last_call();
   apply(ClientClosed{kClient});
-  broke(first.call, ConnectionEnd::kWithdrawn);
+  end_call(first.call, ConnectionEnd::kWithdrawn);
   request(2);
-  EXPECT_EQ(last().kind, CallKind::kStart);
-  EXPECT_NE(last().call, first.call);
-  EXPECT_EQ(outcomes(OutcomeKind::kConnectFailed), 0U);
+  EXPECT_EQ(last_call().kind, CallKind::kStart);
+  EXPECT_NE(last_call().call, first.call);
+  EXPECT_EQ(outcome_count(OutcomeKind::kConnectFailed), 0U);
 }
 
-// Guards against engines that are all taken for out of order while this process is short of descriptors.
-TEST_F(Withdrawal, NorDoesALackOfDescriptors) {
-  begin(2);
+// Guards against engines that are all taken for faulty while this process is short of descriptors.
+TEST_F(Withdrawal, ALackOfDescriptorsIsNotCountedAgainstEngines) {
+  start_reducer(2);
   request(1, "once");
-  broke(last().call, ConnectionEnd::kNoDescriptor);
-  ASSERT_EQ(last().kind, CallKind::kStart);
-  broke(last().call, ConnectionEnd::kNoDescriptor);
-  const auto sent = calls.size();
-  request(2, "once");  // no suspect engine is tried by a class that may not run twice, while others are there
-  EXPECT_GT(calls.size(), sent);
-  EXPECT_EQ(outcomes(OutcomeKind::kConnectFailed), 0U);
+  end_call(last_call().call, ConnectionEnd::kNoDescriptor);
+  ASSERT_EQ(last_call().kind, CallKind::kStart);
+  end_call(last_call().call, ConnectionEnd::kNoDescriptor);
+  const auto calls_before = calls.size();
+  request(2, "once");  // a class that must not run twice tries no suspect engine while others are there
+  EXPECT_GT(calls.size(), calls_before);
+  EXPECT_EQ(outcome_count(OutcomeKind::kConnectFailed), 0U);
 }
 
-// Guards against an attempt for nobody where running ones can't be cancelled.
+// Guards against starting a query whose client has left, where running queries cannot be cancelled.
 TEST_F(Withdrawal, AStartIsTakenBackWhenItsClientLeavesThoughNothingCanBeCancelled) {
   for (const bool closes : {true, false}) {
     settings.limits.cancel = false;
     withdrawn.clear();
-    begin();
+    start_reducer();
     request(1);
-    const StartCall first = last();
-    const auto sent = calls.size();
+    const StartCall first = last_call();
+    const auto calls_before = calls.size();
     if (closes) {
       apply(ClientClosed{kClient});
     } else {
       apply(RequestAborted{kClient, 1});
     }
     ASSERT_EQ(withdrawn, std::vector<CallId>{first.call});
-    broke(first.call, ConnectionEnd::kWithdrawn);
-    EXPECT_EQ(calls.size(), sent);
+    end_call(first.call, ConnectionEnd::kWithdrawn);
+    EXPECT_EQ(calls.size(), calls_before);
     EXPECT_EQ(reducer->queries(), 0U);
   }
 }
 
-// Guards against a second copy of the last answer that is taken for the answer to giving up: the attempt
-// passed for over, and another one began, while its engine still ran it.
+// Guards against a duplicate of the last answer that is read as the answer to the call that cancels the
+// query: the attempt was taken for ended and another one began, while the engine still ran the first.
 TEST_F(Withdrawal, GivingUpGoesOverAConnectionOfItsOwn) {
-  begin();
+  start_reducer();
   request(1);
-  const StartCall first = last();
+  const StartCall first = last_call();
   apply(RequestAborted{kClient, 1});
   ASSERT_EQ(dropped, std::vector<CallId>{first.call});
   closed.clear();
-  answer(first.call, Kind::kNotYet);  // it was on its way when the call was dropped: its connection stays
-  ASSERT_EQ(last().kind, CallKind::kGiveUp);
+  answer(first.call, Kind::kNotYet);  // was on its way when the call was dropped: the connection stays open
+  ASSERT_EQ(last_call().kind, CallKind::kGiveUp);
   EXPECT_EQ(closed, std::vector<AttemptId>{first.attempt});
 }
 
--- a/tests/unit/connection_end_test.cpp
+++ b/tests/unit/connection_end_test.cpp
@@ -1,4 +1,5 @@
-// Each end of a connection and what it means to the module, before and after the engine may have the query.
+// The outcome that the decision module is told for each end of a connection, before and after the engine may
+// have the query.
 #include "core/connection_end.h"
 
 #include <gtest/gtest.h>
@@ -10,13 +11,13 @@
 namespace orchidgw::core {
 namespace {
 
-struct Meaning {
-  OutcomeKind fresh;    // the start of the query ended so
-  OutcomeKind started;  // a later call ended so
-  bool arrived;
+struct Expected {
+  OutcomeKind first_call;  // the call that starts the query ended this way
+  OutcomeKind later_call;  // a call after it ended this way
+  bool may_have_arrived;
 };
 
-const std::map<ConnectionEnd, Meaning> kMeanings = {
+const std::map<ConnectionEnd, Expected> kExpected = {
     {ConnectionEnd::kRefused, {OutcomeKind::kConnectFailed, OutcomeKind::kReset, false}},
     {ConnectionEnd::kNotUpInTime, {OutcomeKind::kConnectFailed, OutcomeKind::kReset, false}},
     {ConnectionEnd::kUnreachable, {OutcomeKind::kConnectFailed, OutcomeKind::kReset, false}},
@@ -48,11 +49,11 @@
 }
 
 TEST(ConnectionEnd, EachHasItsMeaning) {
-  EXPECT_EQ(kMeanings.size(), kConnectionEnds);
-  for (const auto& [end, meaning] : kMeanings) {
-    EXPECT_EQ(outcome_of(end, false), meaning.fresh) << name_of(end);
-    EXPECT_EQ(outcome_of(end, true), meaning.started) << name_of(end);
-    EXPECT_EQ(may_have_arrived(end), meaning.arrived) << name_of(end);
+  EXPECT_EQ(kExpected.size(), kConnectionEnds);
+  for (const auto& [end, expected] : kExpected) {
+    EXPECT_EQ(outcome_of(end, false), expected.first_call) << name_of(end);
+    EXPECT_EQ(outcome_of(end, true), expected.later_call) << name_of(end);
+    EXPECT_EQ(may_have_arrived(end), expected.may_have_arrived) << name_of(end);
   }
 }
 
--- a/tests/unit/table_group_test.cpp
+++ b/tests/unit/table_group_test.cpp
@@ -1,4 +1,5 @@
-// The table group of a statement: strings, comments, quoting, staging, aliases that look like a schema.
+// The table group of a statement, with names in strings and comments, quoted identifiers, the schema
+// `staging`, and aliases that look like a schema.
 #include "core/table_group.h"
 
 #include <gtest/gtest.h>
