--- a/src/core/effects.h
+++ b/src/core/effects.h
@@ -58,7 +58,7 @@
 struct AnswerFailed {
   ClientId client = 0;
   RequestTag tag = 0;
-  std::string why;
+  std::string why;        // sent to the client; may be empty
   bool unusable = false;  // the request was invalid and never accepted
 };
 
@@ -72,7 +72,7 @@
 struct AnswerRejected {
   ClientId client = 0;
   RequestTag tag = 0;
-  std::string why;
+  std::string why;  // sent to the client
 };
 
 // Closes the attempt's idle connection, if it has one: no further call of the attempt may use it.
