--- a/tests/reducer/limits_test.cpp
+++ b/tests/reducer/limits_test.cpp
@@ -162,8 +162,9 @@
   EXPECT_EQ(answers[1], std::vector<std::string>{"served x\n"});
 }
 
-// Guards against a ration of further attempts (rule 7) that counts a query in too late a window: a query that
-// waited under its limits was accepted before it was admitted, so its admission adds nothing to the ration.
+// Guards against a retry budget (rule 7 of the settings) that counts a query in too late a window: a query
+// that waited under its limits was accepted before it was admitted, so its admission adds nothing to the
+// budget.
 TEST_F(LimitedTest, AQueryThatWaitedCountsForNoFurtherAttempt) {
   settings.rules.attempts_rationed = true;
   settings.rules.extra_free = 0;
--- a/tests/reducer/unsent_attempts_test.cpp
+++ b/tests/reducer/unsent_attempts_test.cpp
@@ -31,7 +31,8 @@
   EXPECT_EQ(start_count(), 4U);
 }
 
-// The ration of further attempts (rule 7) allows one: an attempt that fails to connect leaves it to the next.
+// The retry budget (rule 7 of the settings) allows one further attempt: one that fails to connect leaves it
+// to the next.
 TEST_F(UnsentAttempts, AConnectThatFailsUsesUpNoAllowanceForFurtherAttempts) {
   settings.rules.attempts_rationed = true;
   settings.rules.extra_free = 1;
@@ -44,7 +45,7 @@
     run_until(now + 10 * kMs);
   }
   ASSERT_EQ(start_count(), 3U);
-  end_call(last_call().call, ConnectionEnd::kClosedUnanswered);  // this one was sent: the ration is used up
+  end_call(last_call().call, ConnectionEnd::kClosedUnanswered);  // this one was sent: the budget is used up
   run_until(now + 500 * kMs);
   EXPECT_EQ(start_count(), 3U);
 }
--- a/tests/reducer/withdrawal_test.cpp
+++ b/tests/reducer/withdrawal_test.cpp
@@ -83,7 +83,8 @@
   EXPECT_EQ(outcome_count(OutcomeKind::kConnectFailed), 0U);
 }
 
-// Guards against starting a query whose client has left, where running queries cannot be cancelled.
+// Guards against starting a query whose client has disconnected or aborted it, where running queries cannot
+// be cancelled.
 TEST_F(Withdrawal, AStartIsTakenBackWhenItsClientLeavesThoughNothingCanBeCancelled) {
   for (const bool closes : {true, false}) {
     settings.limits.cancel = false;
