--- a/tests/unit/module_test.cpp
+++ b/tests/unit/module_test.cpp
@@ -522,7 +522,7 @@
 
 // Answers were lost in the network while the engines went on answering other queries, and a query waited for
 // its lost answer until its time budget ended. An overdue query is cancelled; its engine becomes suspect only
-// if no answer to another query came back in the meantime.
+// if nothing has come back from it since the query was sent.
 TEST_F(WorkloadBudgetTest, AnOverdueQueryGoesElsewhereAndItsEngineIsShutOnlyIfNothingCameBack) {
   for (const bool other_query_answered : {true, false}) {
     SCOPED_TRACE(other_query_answered);
@@ -622,8 +622,8 @@
     ASSERT_EQ(sink.sent.size(), send_index + 1);
     EXPECT_NE(sink.sent.at(send_index).engine, failing_engine);
     report_outcome(send_index, OutcomeKind::kFull);
-    run_until(sink.now +
-              1'100 * kMs);  // after an answer "full" the engine gets this class again a second later
+    // An engine that answered "full" gets no query of that class for a second.
+    run_until(sink.now + 1'100 * kMs);
   }
 }
 
@@ -662,7 +662,7 @@
     ASSERT_EQ(sink.sent.size(), 2u);
     ++trials_per_100ms[sink.sent.at(1).at / (100 * kMs)];
   }
-  for (const auto& [time, count] : trials_per_100ms) EXPECT_LE(count, 45) << time;
+  for (const auto& [interval, count] : trials_per_100ms) EXPECT_LE(count, 45) << interval;
 }
 
 // --- Leases: the share that a fleet leaves this gateway ---
@@ -697,8 +697,8 @@
   }
   EXPECT_EQ(send_counts[0], 0u);
   EXPECT_GT(send_counts[1], 0u);
-  EXPECT_LE(send_counts[1],
-            14u);  // an eighth of 9.6 s of work, in queries of 0.1 s, and turns as the engine warms up
+  // An eighth of 9.6 s of work, in queries of 0.1 s, and some by turn as the engine warms up.
+  EXPECT_LE(send_counts[1], 14u);
   EXPECT_GT(send_counts[2], 2 * send_counts[1]);
 }
 
@@ -870,8 +870,8 @@
   query.id = 2;
   submit(query);
   EXPECT_NE(sink.sent.at(1).engine, slow_engine);
-  EXPECT_LE(sink.cancelled.size(),
-            1u);  // the engine is alive; a query is cancelled for its slow pace once at most
+  // The engine is alive and works on the query, which is cancelled for its slow pace once at most.
+  EXPECT_LE(sink.cancelled.size(), 1u);
   run_until(30 * kSecond);
   query.id = 3;
   submit(query);
@@ -940,6 +940,7 @@
   EXPECT_EQ(send_count(2), 1u);
 }
 
+// Such engines queue queries for memory themselves; the count for engines that page must not change that.
 TEST_F(WorkloadBudgetTest, WhereEnginesWaitWithoutGrantsMemoryIsNotCounted) {
   create_module(1);
   Query query = make_query(1, 7);
@@ -947,7 +948,7 @@
   submit(query);
   query.id = 2;
   submit(query);
-  EXPECT_EQ(send_count(2), 1u);  // such engines queue queries for memory themselves
+  EXPECT_EQ(send_count(2), 1u);
 }
 
 // An even part of a cold engine's allowance was below one query's cost: after all engines were replaced, none
@@ -1041,7 +1042,8 @@
   EXPECT_GE(sink.priority_and_grant_mb.at(1).second, 1500);
 }
 
-// Reports filled the engines' memory, and lookups waited in the engines' queues for memory.
+// Reports filled the engines' memory, and lookups waited for memory in the engines' queues. This gateway's
+// grants stay within its part of an engine's memory, and that part shrinks when a query waits there.
 TEST_F(WorkloadBudgetTest, GrantsStayWithinThisGatewaysPartAndShrinkWhenQueriesWaitForMemory) {
   settings.gateways = 2;
   settings.grants = true;
@@ -1090,8 +1092,8 @@
     EXPECT_TRUE(load_engines.insert(sink.sent[i].engine).second)
         << "two loads of a table group on one engine";
   }
-  EXPECT_EQ(load_engines.size(),
-            3u);  // the half of the engines ranked last for the group; the other loads are held
+  // Loads go to the half of the engines that is ranked last for the group; the other loads are held.
+  EXPECT_EQ(load_engines.size(), 3u);
 }
 
 // Incident r93ae0d: readers were blocked by loads of other gateways, of which nothing told this gateway, one
