--- a/tests/unit/module_test.cpp
+++ b/tests/unit/module_test.cpp
@@ -402,7 +402,7 @@
   EXPECT_EQ(sink.sent.size(), sends_before);
 }
 
-// --- Rule 4: all gateways together send a cold engine a bounded amount of work ---
+// --- Rule 4: all gateways together send an engine in slow start a bounded amount of work ---
 
 TEST_F(WorkloadBudgetTest, AColdEngineGetsNoMoreThanItsPartInAnyWindow) {
   settings.gateways = 4;
@@ -436,7 +436,7 @@
   EXPECT_TRUE(sink.sent.empty());
 }
 
-// --- Rule 5: order within a class, which the module does not implement ---
+// --- Rule 5: serial execution by key, which the module does not implement ---
 
 // No deployment asks for order at present. A class that did would have its order broken without any sign of
 // it, so such settings are rejected.
@@ -474,7 +474,7 @@
   EXPECT_EQ(sink.refused.count(1), 1u);
 }
 
-// --- Rule 7: attempts beyond the first are rationed ---
+// --- Rule 7: attempts beyond the first come out of a retry budget ---
 
 TEST_F(WorkloadBudgetTest, FurtherAttemptsStayWithinTheRation) {
   settings.rules.attempts_rationed = true;
@@ -667,7 +667,7 @@
 
 // --- Leases: the share that a fleet leaves this gateway ---
 
-// A lease on the same part of all that the fleet shares, but for further attempts, which it does not limit.
+// A lease on the same part of all that the fleet shares; it does not limit the retry budget.
 FleetShare make_fleet_share(double part, int live_gateways = 4) {
   FleetShare share;
   share.bounds = share.cold = part;
@@ -697,7 +697,7 @@
   }
   EXPECT_EQ(send_counts[0], 0u);
   EXPECT_GT(send_counts[1], 0u);
-  // An eighth of 9.6 s of work, in queries of 0.1 s, and some by turn as the engine warms up.
+  // An eighth of 9.6 s of work, in queries of 0.1 s, and some by turn as the slow start goes on.
   EXPECT_LE(send_counts[1], 14u);
   EXPECT_GT(send_counts[2], 2 * send_counts[1]);
 }
@@ -878,8 +878,9 @@
   EXPECT_EQ(sink.sent.back().engine, slow_engine);  // its measured slowdown decays
 }
 
-// A report whose engine chose a bad query plan sent progress notes at a tenth of its usual pace until its
-// time budget ended. A plan is chosen anew for each attempt, so such an attempt is cancelled and sent again.
+// A report query whose engine chose a bad query plan sent progress notes at a tenth of its usual pace until
+// its time budget ended. A plan is chosen anew for each attempt, so such an attempt is cancelled and sent
+// again.
 TEST_F(WorkloadBudgetTest, AnAttemptWhoseNotesTellABadPlanIsCancelledAndSentAgainOnce) {
   settings.progress_interval = 2 * kSecond;
   settings.classes[0].aim = 3 * kSecond;
@@ -940,7 +941,8 @@
   EXPECT_EQ(send_count(2), 1u);
 }
 
-// Such engines queue queries for memory themselves; the count for engines that page must not change that.
+// Such engines queue queries for memory themselves; the count for engines that overcommit must not change
+// that.
 TEST_F(WorkloadBudgetTest, WhereEnginesWaitWithoutGrantsMemoryIsNotCounted) {
   create_module(1);
   Query query = make_query(1, 7);
@@ -951,8 +953,8 @@
   EXPECT_EQ(send_count(2), 1u);
 }
 
-// An even part of a cold engine's allowance was below one query's cost: after all engines were replaced, none
-// got any query until it was warm.
+// An even part of the allowance of an engine in slow start was below one query's cost: after all engines were
+// replaced, none got any query until its slow start was over.
 TEST_F(WorkloadBudgetTest, AColdEnginesAllowanceIsUsedByAllGatewaysTogetherAndNotPassed) {
   settings.gateways = 100;
   settings.rules = {};
@@ -1042,8 +1044,9 @@
   EXPECT_GE(sink.priority_and_grant_mb.at(1).second, 1500);
 }
 
-// Reports filled the engines' memory, and lookups waited for memory in the engines' queues. This gateway's
-// grants stay within its part of an engine's memory, and that part shrinks when a query waits there.
+// Report queries filled the engines' memory, and lookup queries waited for memory in the engines' queues.
+// This gateway's grants stay within its part of an engine's memory, and that part shrinks when a query waits
+// there.
 TEST_F(WorkloadBudgetTest, GrantsStayWithinThisGatewaysPartAndShrinkWhenQueriesWaitForMemory) {
   settings.gateways = 2;
   settings.grants = true;
@@ -1069,9 +1072,10 @@
   EXPECT_GT(sink.sent.size(), 8u);
 }
 
-// --- Loads, which block readers of their table group on the same engine ---
+// --- Load queries, which block readers of their table group on the same engine ---
 
-// Loads of one table group queued on one engine, where they blocked each other and every reader of the group.
+// Load queries of one table group queued on one engine, where they blocked each other and every reader of the
+// group.
 TEST_F(WorkloadBudgetTest, LoadsOfOneGroupNeverShareAnEngineNorTheReadersHome) {
   settings.classes[0].waits_for_loads = true;
   ClassSettings load_class = default_class();
@@ -1090,15 +1094,16 @@
   for (size_t i = 1; i < sink.sent.size(); ++i) {
     EXPECT_NE(sink.sent[i].engine, home_engine);
     EXPECT_TRUE(load_engines.insert(sink.sent[i].engine).second)
-        << "two loads of a table group on one engine";
+        << "two load queries of a table group on one engine";
   }
-  // Loads go to the half of the engines that is ranked last for the group; the other loads are held.
+  // Load queries go to the half of the engines that is ranked last for the group; the rest of them are held.
   EXPECT_EQ(load_engines.size(), 3u);
 }
 
-// Incident r93ae0d: readers were blocked by loads of other gateways, of which nothing told this gateway, one
-// reader after the other, each until its aim had passed; and the engine counted as slow for all table groups.
-// An overdue reader now marks its group as blocked on that engine for as long as a load takes.
+// Incident r93ae0d: readers were blocked by load queries of other gateways, of which nothing told this
+// gateway, one reader after the other, each until its latency target had passed; and the engine counted as
+// slow for all table groups. An overdue reader now marks its group as blocked on that engine for as long as a
+// load query takes.
 TEST_F(WorkloadBudgetTest, AnOverdueReaderMarksItsGroupAsHeldThere) {
   settings.classes[0].waits_for_loads = true;
   ClassSettings load_class = default_class();
@@ -1113,7 +1118,7 @@
   load_query.cost_estimate = 2 * kSecond;
   submit(load_query);
   run_until(2 * kSecond);
-  report_outcome(0, OutcomeKind::kOk, 2 * kSecond);  // teaches the module how long a load takes
+  report_outcome(0, OutcomeKind::kOk, 2 * kSecond);  // shows the module how long load queries take
   submit(make_query(2, 5));
   const EngineId home_engine = sink.sent.at(1).engine;
   std::int64_t other_group = 5;  // ends as a group with the same home
@@ -1129,7 +1134,7 @@
   report_outcome(1, OutcomeKind::kCancelled);
   submit(make_query(3, 5));
   EXPECT_NE(sink.sent.back().engine, home_engine);
-  run_until(6 * kSecond);  // a load that blocked the group has ended by now
+  run_until(6 * kSecond);  // a load query that blocked the group has ended by now
   submit(make_query(5, 5));
   EXPECT_EQ(sink.sent.back().engine, home_engine);
 }
@@ -1156,8 +1161,8 @@
   EXPECT_EQ(sink.sent.back().engine, home_engine);
 }
 
-// Incident r93ae0d: an attempt became overdue after a fixed 0.7 s, longer than the aim itself, so its query
-// could only be refused.
+// Incident r93ae0d: an attempt became overdue after a fixed 0.7 s, longer than the latency target itself, so
+// its query could only be refused.
 TEST_F(WorkloadBudgetTest, AQueryIsOverdueInTimeToGoElsewhereWhereAimsAreShort) {
   settings.classes[0].aim = 300 * kMs;
   create_module(2);
