--- a/tests/unit/module_test.cpp
+++ b/tests/unit/module_test.cpp
@@ -1094,7 +1094,7 @@
   for (size_t i = 1; i < sink.sent.size(); ++i) {
     EXPECT_NE(sink.sent[i].engine, home_engine);
     EXPECT_TRUE(load_engines.insert(sink.sent[i].engine).second)
-        << "two load queries of a table group on one engine";
+        << "two loads of a table group on one engine";
   }
   // Load queries go to the half of the engines that is ranked last for the group; the rest of them are held.
   EXPECT_EQ(load_engines.size(), 3u);
