--- a/src/core/reducer.cpp
+++ b/src/core/reducer.cpp
@@ -18,24 +18,22 @@
       module_(make_workload_budget(settings, seed)),
       limiter_(settings, seed) {
   for (std::size_t i = 0; i < settings_.classes.size(); ++i)
-    classes_[settings_.classes[i].name] = static_cast<int>(i);
+    class_indexes_[settings_.classes[i].name] = static_cast<int>(i);
 }
 
 std::vector<SideEffect> Reducer::apply(TimeUs now, Event event) {
   now_ = std::max(now_, now);
   effects_.clear();
   std::visit([this](auto& e) { on(e); }, event);
-  deliver_pending();
-  forget_what_is_over();
-  release_those_due();
+  deliver_pending_outcomes();
+  erase_finished_queries();
+  release_waiting_queries();
   counters_.open_queries.set(queries_.size());
   counters_.waiting_queries.set(limiter_.waiting());
   counters_.open_calls.set(calls_.size());
   return std::move(effects_);
 }
 
-// --- Engine list ------------------------------------------------------------------------------------------
-
 void Reducer::on(EnginesChanged& event) {
   ++counters_.list_changes;
   if (event.kind != ListKind::kDelta) engines_.clear();
@@ -48,131 +46,137 @@
       engines_[listing.entry.id] = listing;
     }
   }
-  list_known_ = true;
-  if (levels_.on()) tell_levels_of_engines();
-  withdraw_from_those_leaving();
+  engine_list_known_ = true;
+  if (levels_.on()) update_level_engines();
+  withdraw_from_leaving_engines();
   module_->on_engines(now_, event.kind, entries, *this);
 }
 
-// Guards against a first byte that goes out long after its engine's drain was told: chosen before, it waits
-// for a connection that is slow to come up, for a descriptor, or for a promise.
-void Reducer::withdraw_from_those_leaving() {
+// Withdraws starts whose first byte is not sent yet from engines that are draining or gone. Such a start was
+// chosen before the drain was announced and may still be waiting for a slow connection, a descriptor or a key
+// reservation; without this it would reach the engine long after the announcement.
+void Reducer::withdraw_from_leaving_engines() {
   for (auto& [id, query] : queries_) {
-    for (const AttemptState& a : query.attempts) {
-      if (a.phase != Phase::kRunning) continue;
-      const auto it = engines_.find(a.engine);
-      if (it == engines_.end() || it->second.entry.state != EngineState::kInService) withdraw_unsent(a);
+    for (const AttemptState& attempt : query.attempts) {
+      if (attempt.phase != Phase::kRunning) continue;
+      const auto it = engines_.find(attempt.engine);
+      if (it == engines_.end() || it->second.entry.state != EngineState::kInService)
+        withdraw_unsent_start(attempt);
     }
   }
 }
 
-void Reducer::withdraw_unsent(const AttemptState& a) {
-  const bool starting = a.phase == Phase::kRunning && a.call != 0 && a.call_kind == CallKind::kStart;
-  if (starting) emit(WithdrawCall{a.call});
+void Reducer::withdraw_unsent_start(const AttemptState& attempt) {
+  const bool starting =
+      attempt.phase == Phase::kRunning && attempt.open_call != 0 && attempt.call_kind == CallKind::kStart;
+  if (starting) emit(WithdrawCall{attempt.open_call});
 }
 
-// --- Clients ----------------------------------------------------------------------------------------------
-
 void Reducer::on(RequestArrived& event) {
   const auto reject = [&](const char* why) {
     ++counters_.rejected;
     emit(AnswerRejected{event.client, event.tag, why});
   };
-  if (open_.count({event.client, event.tag}) > 0) return reject("sequence number is in use");
-  if (open_requests_of(event.client) >= bounds_.open_per_client) return reject("too many open requests");
+  if (open_requests_.count({event.client, event.tag}) > 0) return reject("sequence number is in use");
+  if (open_requests_of(event.client) >= bounds_.max_open_requests_per_client)
+    return reject("too many open requests");
   const auto unusable = [&](const std::string& why) {
     ++counters_.rejected;
     emit(AnswerFailed{event.client, event.tag, why, true});
   };
   if (!event.request) return unusable(event.why);
-  const auto known = classes_.find(event.request->class_name);
-  if (known == classes_.end()) return unusable("unknown class");
-  const ClassSettings& c = settings_.classes[static_cast<std::size_t>(known->second)];
-  if (const std::string fault = fault_of(*event.request, c); !fault.empty()) return unusable(fault);
-  if (!list_known_) return unusable("not ready");
-  take(event, known->second);
-}
-
-// Guards against requests that engines can't use: they answer an error, which says nothing of the engine; and
-// against two queries under one reference, of which giving up one would end the other.
-std::string Reducer::fault_of(const ClientRequest& request, const ClassSettings& c) const {
+  const auto known = class_indexes_.find(event.request->class_name);
+  if (known == class_indexes_.end()) return unusable("unknown class");
+  const ClassSettings& query_class = settings_.classes[static_cast<std::size_t>(known->second)];
+  if (const std::string fault = validation_error(*event.request, query_class); !fault.empty())
+    return unusable(fault);
+  if (!engine_list_known_) return unusable("not ready");
+  accept_request(event, known->second);
+}
+
+// Rejects requests that no engine can run: an engine answers them with an error, which would be counted
+// against the engine. Also rejects a second open query under the same reference, since giving up one of the
+// two would end the other at the engine.
+std::string Reducer::validation_error(const ClientRequest& request, const ClassSettings& query_class) const {
   const auto same_name = [&](const TenantSettings& t) { return t.name == request.tenant; };
   if (!settings_.tenants.empty() &&
       std::none_of(settings_.tenants.begin(), settings_.tenants.end(), same_name))
     return "unknown tenant";
-  if (c.effect == Effect::kDeduplicated && request.idempotency_key.empty()) return "the class needs a key";
+  if (query_class.effect == Effect::kDeduplicated && request.idempotency_key.empty())
+    return "the class needs a key";
   if (request.statement.empty()) return "no statement";
-  if (request.time_budget > 2 * c.deadline) return "the time is out of range";
+  if (request.time_budget > 2 * query_class.deadline) return "the time is out of range";
   double cores = 1;
   double memory_mb = 0;
   for (const KindSettings& kind : settings_.kinds) {
     cores = std::max<double>(cores, kind.cores);
     memory_mb = std::max(memory_mb, kind.memory_mb);
   }
-  // More than the largest engine does by itself in the whole time, or has.
-  if (static_cast<double>(request.cost_estimate) > cores * static_cast<double>(c.deadline))
+  // The upper bounds are what the largest engine can do alone within the class deadline, and its memory.
+  if (static_cast<double>(request.cost_estimate) > cores * static_cast<double>(query_class.deadline))
     return "the work is out of range";
   if (memory_mb > 0 && request.memory_mb > memory_mb) return "the memory is out of range";
   if (references_.count(request.reference) > 0) return "the reference is in use";
   return "";
 }
 
-void Reducer::take(RequestArrived& event, int class_index) {
+void Reducer::accept_request(RequestArrived& event, int class_index) {
   const QueryId id = new_query_id();
   QueryState& query = queries_[id];
   query.client = event.client;
   query.tag = event.tag;
   query.request = std::move(*event.request);
   const TableUse use = table_use_of(query.request.statement);
-  query.taken_at = now_;
+  query.accepted_at = now_;
   query.class_index = class_index;
   query.table_group = use.group;
-  held_bytes_ += query.request.statement.size();
+  statement_bytes_ += query.request.statement.size();
   references_.insert(query.request.reference);
-  open_[{event.client, event.tag}] = id;
+  open_requests_[{event.client, event.tag}] = id;
   ++counters_.taken;
-  touched_.push_back(id);
-  if (keys_ && !may_be_taken_on(id)) return;
-  // Guards against a request that a shutdown leaves unanswered: it has the time until then, or is refused.
-  query.request.time_budget = std::min(query.request.time_budget, answer_by_ - now_);
+  queries_to_check_.push_back(id);
+  if (key_lookup_ && !passes_key_check(id)) return;
+  // During a shutdown the time budget ends with the shutdown, and a request that arrives later is refused, so
+  // that none is left without an answer.
+  query.request.time_budget = std::min(query.request.time_budget, shutdown_answer_by_ - now_);
   if (query.request.time_budget <= 0) return turn_away(id, Reason::kShutDown, longest_advice());
   if (event.refuse_as != Reason::kNone) return turn_away(id, event.refuse_as, longest_advice());
   const ClientRequest& r = query.request;
   if (levels_.on()) {
     levels_.meters()->taken(now_, r.class_name, r.tenant);
     query.deadline = now_ + r.time_budget;
-    if (levels_.sheds(as_shed_sees(query)) != nullptr) return shed(id);
+    if (levels_.sheds(to_shed_query(query)) != nullptr) return shed(id);
   }
   const limits::Verdict verdict =
       limiter_.admit(now_, {id, class_index, r.tenant, use.table, !r.idempotency_key.empty(), r.time_budget});
   query.deadline = now_ + limiter_.time_for(id, r.time_budget);
-  set_final_answer_timer(id, now_ + r.time_budget + bounds_.overdue_after);
-  follow(id, verdict);
+  set_final_answer_timer(id, now_ + r.time_budget + bounds_.final_answer_grace);
+  apply_verdict(id, verdict);
 }
 
 void Reducer::set_final_answer_timer(QueryId id, TimeUs due) {
-  const bool shut_down_before = answer_by_ < due;
+  const bool shut_down_before = shutdown_answer_by_ < due;
   const TimerKind kind = shut_down_before ? TimerKind::kShutDown : TimerKind::kOverdue;
-  set_timer_for(kind, std::min(due, answer_by_), id, 0);
+  schedule_timer(kind, std::min(due, shutdown_answer_by_), id, 0);
 }
 
 std::string Reducer::identity_of(const QueryState& query) const {
-  const ClassSettings& c = class_of(query);
-  if (c.effect == Effect::kIdempotent) return "";
-  const bool keyed = c.effect == Effect::kDeduplicated && !query.request.idempotency_key.empty();
+  const ClassSettings& query_class = class_of(query);
+  if (query_class.effect == Effect::kIdempotent) return "";
+  const bool keyed = query_class.effect == Effect::kDeduplicated && !query.request.idempotency_key.empty();
   return keyed ? "key " + query.request.idempotency_key : "reference " + query.request.reference;
 }
 
-// Guards against a second run of what a process before this one sent and did not see the end of: no refusal,
-// which would call another try harmless, and no attempt.
-bool Reducer::may_be_taken_on(QueryId id) {
+// Prevents a second run of a query that an earlier process sent without seeing its end. Such a query is
+// failed without an attempt; it is not refused, because a refusal tells the client that a retry is harmless.
+bool Reducer::passes_key_check(QueryId id) {
   const std::string identity = identity_of(queries_.at(id));
   if (identity.empty()) return true;
-  switch (keys_(identity)) {
+  switch (key_lookup_(identity)) {
     case KeyVerdict::kNew:
       return true;
     case KeyVerdict::kMayHaveRun:
-      fail_because(id, "it may have run before this controller's start");
+      fail_request(id, "it may have run before this controller started");
       return false;
     case KeyVerdict::kNoRoom:
       turn_away(id, Reason::kNoIntent, longest_advice());
@@ -181,73 +185,75 @@
   return true;
 }
 
-// It was not sent, and would not be by another attempt: answered at once. A key that rests may have run by
-// another controller, as may an earlier attempt of this one: no refusal then. The engine did nothing wrong:
-// guards against one that is taken for out of order by what keepers or disks do.
-void Reducer::not_promised(QueryId id, std::size_t n, ConnectionEnd end) {
-  conclude(id, n, OutcomeKind::kMoot);
+// The start was not sent, and a further attempt would not be sent either, so the client is answered at once.
+// If another controller holds the key, or an earlier attempt of this query may have run, the request is
+// failed and not refused, since the query may have run. The attempt's outcome is kMoot: an engine must not be
+// judged faulty because of the fleet's keepers or a local disk.
+void Reducer::handle_blocked_start(QueryId id, std::size_t attempt_index, ConnectionEnd end) {
+  conclude(id, attempt_index, OutcomeKind::kMoot);
   const auto& attempts = queries_.at(id).attempts;
-  const bool ran = std::any_of(attempts.begin(), attempts.end(), [](const AttemptState& a) { return a.ran; });
+  const bool may_have_run = std::any_of(attempts.begin(), attempts.end(),
+                                        [](const AttemptState& attempt) { return attempt.may_have_run; });
   if (end == ConnectionEnd::kKeyRests) {
-    fail_because(id, "it may have run by another controller");
-  } else if (ran) {
-    fail_because(id, "another attempt may have run");
+    fail_request(id, "another controller may have run it");
+  } else if (may_have_run) {
+    fail_request(id, "another attempt may have run");
   } else {
     turn_away(id, Reason::kNoIntent, longest_advice());
   }
   module_->on_client_gone(now_, id, *this);
 }
 
-// Guards against a client that is refused here and would be turned away elsewhere, by a key that rests for
-// nothing.
+// Frees the key of a query of which no attempt ran. Otherwise a client that was refused here would be refused
+// by other controllers too, because of a key that is reserved for nothing.
 void Reducer::free_key(QueryId id, const QueryState& query) {
   const std::string identity = identity_of(query);
   bool sent = false;
-  for (const AttemptState& a : query.attempts) {
-    if (a.ran) return;
-    sent = sent || a.serial > 0;
+  for (const AttemptState& attempt : query.attempts) {
+    if (attempt.may_have_run) return;
+    sent = sent || attempt.adapter_id > 0;
   }
   if (sent && !identity.empty()) emit(FreeKey{id, identity});
 }
 
-// What the limits say of a query that is new, or whose wait is over.
-void Reducer::follow(QueryId id, const limits::Verdict& verdict) {
+// Carries out the limiter's verdict on a new query, or on one whose wait is over.
+void Reducer::apply_verdict(QueryId id, const limits::Verdict& verdict) {
   switch (verdict.kind) {
     case limits::Verdict::Kind::kLetIn:
-      return let_in(id);
+      return pass_to_module(id);
     case limits::Verdict::Kind::kWait:
-      if (trace_) trace_answered(id, "waits", queries_.at(id));
+      if (trace_enabled_) trace_answered(id, "waits", queries_.at(id));
       return;
-    case limits::Verdict::Kind::kRefuse:  // never sent: a refusal is always harmless
+    case limits::Verdict::Kind::kRefuse:  // never sent, so a refusal is always safe
       return turn_away(id, verdict.reason, verdict.retry_after);
   }
 }
 
-void Reducer::let_in(QueryId id) {
+void Reducer::pass_to_module(QueryId id) {
   QueryState& query = queries_.at(id);
-  query.let_in = true;
-  Query q;
-  q.id = id;
-  q.tenant = query.request.tenant;
-  q.class_index = query.class_index;
-  q.table_group = query.table_group;
-  q.time_budget = query.deadline - now_;
-  q.memory_mb = query.request.memory_mb;
-  q.cost_estimate = query.request.cost_estimate;
-  q.repeat = query.request.repeat;
-  q.waited = now_ - query.taken_at;
-  q.limits = levels_.over(limiter_.pass_of(id), query.request.tenant, query.taken_at);
-  if (trace_) trace_taken(q, query);
-  module_->on_query(now_, q, *this);
-}
-
-// Each is let in or answered in turn; what one sets free may be the next one's place.
-void Reducer::release_those_due() {
+  query.admitted = true;
+  Query module_query;
+  module_query.id = id;
+  module_query.tenant = query.request.tenant;
+  module_query.class_index = query.class_index;
+  module_query.table_group = query.table_group;
+  module_query.time_budget = query.deadline - now_;
+  module_query.memory_mb = query.request.memory_mb;
+  module_query.cost_estimate = query.request.cost_estimate;
+  module_query.repeat = query.request.repeat;
+  module_query.waited = now_ - query.accepted_at;
+  module_query.limits = levels_.over(limiter_.pass_of(id), query.request.tenant, query.accepted_at);
+  if (trace_enabled_) trace_accepted(module_query, query);
+  module_->on_query(now_, module_query, *this);
+}
+
+// Admits or answers the queries one at a time: capacity that one frees may go to the next.
+void Reducer::release_waiting_queries() {
   while (const auto release = limiter_.next_release(now_)) {
-    touched_.push_back(release->id);
-    follow(release->id, release->verdict);
-    deliver_pending();
-    forget_what_is_over();
+    queries_to_check_.push_back(release->id);
+    apply_verdict(release->id, release->verdict);
+    deliver_pending_outcomes();
+    erase_finished_queries();
   }
 }
 
@@ -255,10 +261,10 @@
   levels_.put_in_force(now_, std::move(event.levels));
   if (event.set) limiter_.put_in_force(now_, std::move(event.set));
   limiter_.set_scale(now_, levels_.limits_scale());
-  if (levels_.on()) tell_levels_of_engines();
-  if (!levels_.on() || sampling_) return;
-  sampling_ = true;
-  set_timer_for(TimerKind::kSample, now_ + service_level::kSampleEvery, 0, 0);
+  if (levels_.on()) update_level_engines();
+  if (!levels_.on() || sample_timer_set_) return;
+  sample_timer_set_ = true;
+  schedule_timer(TimerKind::kLevelSample, now_ + service_level::kSampleEvery, 0, 0);
 }
 
 void Reducer::on(LevelSet& event) { levels_.set_by_hand(event.level, event.until); }
@@ -269,10 +275,11 @@
   module_->on_share(now_, event.module, *this);
 }
 
-// Those that are open and have more time than the shutdown leaves are answered at its end.
+// Open requests whose deadline is later than the shutdown's end are answered at that end.
 void Reducer::on(ShutdownBegun& event) {
-  answer_by_ = std::min(answer_by_, event.answer_by);
-  for (const auto& [key, id] : open_) set_timer_for(TimerKind::kShutDown, answer_by_, id, 0);
+  shutdown_answer_by_ = std::min(shutdown_answer_by_, event.answer_by);
+  for (const auto& [key, id] : open_requests_)
+    schedule_timer(TimerKind::kShutDown, shutdown_answer_by_, id, 0);
 }
 
 double Reducer::cores() const {
@@ -285,100 +292,98 @@
   return sum;
 }
 
-// --- Time -------------------------------------------------------------------------------------------------
-
 void Reducer::on(TimePassed&) {
-  std::vector<std::pair<TimeUs, Timer>> due;  // a timer set while these fire waits for the next turn
+  std::vector<std::pair<TimeUs, Timer>> due;  // a timer set while these fire waits for the next TimePassed
   while (auto timer = timers_.pop_due(now_)) due.push_back(*timer);
   for (const auto& [at, timer] : due) {
     if (timer.kind == TimerKind::kModule) {
       counters_.timers.add(now_ - at);
       module_->on_timer(now_, timer.token, *this);
-    } else if (timer.kind == TimerKind::kSample) {
+    } else if (timer.kind == TimerKind::kLevelSample) {
       sample_signals(at);
     } else if (find_query(timer.query) == nullptr) {
       continue;
     } else if (timer.kind == TimerKind::kOverdue) {
-      overdue(timer.query);
+      fail_overdue(timer.query);
     } else if (timer.kind == TimerKind::kShutDown) {
-      shut_down(timer.query);
-    } else if (timer.kind == TimerKind::kStop) {
-      stop_due(timer.query, timer.attempt);
+      answer_for_shutdown(timer.query);
+    } else if (timer.kind == TimerKind::kAttemptStop) {
+      handle_stop_timer(timer.query, timer.attempt_index);
     } else {
-      forgotten_due(timer.query, timer.attempt);
+      handle_retention_timer(timer.query, timer.attempt_index);
     }
-    deliver_pending();
+    deliver_pending_outcomes();
   }
 }
 
-void Reducer::set_timer_for(TimerKind kind, TimeUs due, QueryId id, std::size_t n) {
-  timers_.set(due, Timer{kind, 0, id, n});
+void Reducer::schedule_timer(TimerKind kind, TimeUs due, QueryId id, std::size_t attempt_index) {
+  timers_.set(due, Timer{kind, 0, id, attempt_index});
 }
 
-// --- What the module asks for -----------------------------------------------------------------------------
-
 void Reducer::send(QueryId id, const EngineId& engine, TimeUs stop_at) {
   QueryState* query = find_query(id);
   if (query == nullptr) return;
-  const std::size_t n = query->attempts.size();
-  AttemptState& a = query->attempts.emplace_back();
-  a.engine = engine;
-  a.sent_at = now_;
-  a.stop_at = stop_at <= 0 ? query->deadline : std::min(stop_at, query->deadline);
+  const std::size_t attempt_index = query->attempts.size();
+  AttemptState& attempt = query->attempts.emplace_back();
+  attempt.engine = engine;
+  attempt.sent_at = now_;
+  attempt.stop_at = stop_at <= 0 ? query->deadline : std::min(stop_at, query->deadline);
   const auto it = engines_.find(engine);
-  if (query->ended) return conclude(id, n, OutcomeKind::kMoot);
-  if (it == engines_.end()) return conclude(id, n, OutcomeKind::kConnectFailed);
-  a.zone = it->second.entry.zone;
-  a.cell = it->second.entry.cell;
-  if (const Denial denial = start_denied(*query, n, now_); denial != Denial::kNone) {
-    note_violation(denial, *query);
-    return conclude(id, n, OutcomeKind::kMoot);
+  if (query->ended) return conclude(id, attempt_index, OutcomeKind::kMoot);
+  if (it == engines_.end()) return conclude(id, attempt_index, OutcomeKind::kConnectFailed);
+  attempt.zone = it->second.entry.zone;
+  attempt.cell = it->second.entry.cell;
+  if (const Denial denial = start_denied(*query, attempt_index, now_); denial != Denial::kNone) {
+    record_violation(denial, *query);
+    return conclude(id, attempt_index, OutcomeKind::kMoot);
   }
   ++counters_.sent;
   limiter_.attempt_sent(now_, id);
-  a.serial = ++last_attempt_;
-  a.heard_at = now_;
-  a.address = it->second.address;
-  set_timer_for(TimerKind::kStop, a.stop_at, id, n);
-  if (trace_) trace_sent(id, n, *query);
-  call(id, n, CallKind::kStart);
+  attempt.adapter_id = ++last_attempt_;
+  attempt.last_answer_at = now_;
+  attempt.address = it->second.address;
+  schedule_timer(TimerKind::kAttemptStop, attempt.stop_at, id, attempt_index);
+  if (trace_enabled_) trace_sent(id, attempt_index, *query);
+  start_call(id, attempt_index, CallKind::kStart);
 }
 
-EarlierAttempt Reducer::as_earlier(const AttemptState& attempt) {
+EarlierAttempt Reducer::to_earlier_attempt(const AttemptState& attempt) {
   const bool out = attempt.phase != Phase::kOver;
-  return {attempt.sent_at, out, out || attempt.ran, attempt.zone, attempt.cell, attempt.unsent};
+  return {attempt.sent_at, out, out || attempt.may_have_run, attempt.zone, attempt.cell, attempt.unsent};
 }
 
-// Of the attempt number `n`, with all others of its query taken for earlier ones.
-Denial Reducer::start_denied(const QueryState& query, std::size_t n, TimeUs now) const {
-  const AttemptState& a = query.attempts[n];
+// Checks the attempt at `attempt_index`; all other attempts of its query count as earlier ones.
+Denial Reducer::start_denied(const QueryState& query, std::size_t attempt_index, TimeUs now) const {
+  const AttemptState& attempt = query.attempts[attempt_index];
   std::vector<EarlierAttempt> others;
   for (std::size_t i = 0; i < query.attempts.size(); ++i)
-    if (i != n) others.push_back(as_earlier(query.attempts[i]));
-  const auto engine = engines_.find(a.engine);
+    if (i != attempt_index) others.push_back(to_earlier_attempt(query.attempts[i]));
+  const auto engine = engines_.find(attempt.engine);
   const EngineEntry* to = engine == engines_.end() ? nullptr : &engine->second.entry;
-  return orchidgw::start_denied({class_of(query), to, query.ended, a.stop_at, settings_.limits}, others, now);
+  return orchidgw::start_denied({class_of(query), to, query.ended, attempt.stop_at, settings_.limits}, others,
+                                now);
 }
 
-// Guards against starts that time overtakes on their way: chosen, they wait for a connection that comes up
-// late, for a descriptor, for a promise or an intent, or for this process to get its core again.
+// Checks again at the first byte, because a start may have become forbidden since it was chosen: it can wait
+// for a slow connection, a descriptor, a key reservation or a stored intent, or for this process to be
+// scheduled again.
 Denial Reducer::start_denied(TimeUs now, CallId call) {
   const auto owner = calls_.find(call);
   const QueryState* query = owner == calls_.end() ? nullptr : find_query(owner->second.query);
   Denial denial = Denial::kQueryOver;
-  if (query != nullptr && query->attempts[owner->second.attempt].phase == Phase::kRunning)
-    denial = start_denied(*query, owner->second.attempt, std::max(now, now_));
+  if (query != nullptr && query->attempts[owner->second.attempt_index].phase == Phase::kRunning)
+    denial = start_denied(*query, owner->second.attempt_index, std::max(now, now_));
   if (denial != Denial::kNone) ++counters_.starts_denied[static_cast<std::size_t>(denial)];
   return denial;
 }
 
 bool Reducer::may_refuse(const QueryState& query) const {
   return std::all_of(query.attempts.begin(), query.attempts.end(), [&](const AttemptState& attempt) {
-    return refusal_denied(class_of(query), as_earlier(attempt)) == Denial::kNone;
+    return refusal_denied(class_of(query), to_earlier_attempt(attempt)) == Denial::kNone;
   });
 }
 
-void Reducer::note_violation(Denial denial, const QueryState& query) {
+void Reducer::record_violation(Denial denial, const QueryState& query) {
   ++counters_.violations[static_cast<std::size_t>(denial)];
   emit(LogText{log::Level::kError, std::string("not done, as it is not allowed: ") +
                                        orchidgw::name_of(denial) + " for request " + query.request.reference +
@@ -394,30 +399,30 @@
   QueryState* query = find_query(id);
   if (query == nullptr || query->ended) return;
   if (!may_refuse(*query)) {
-    note_violation(Denial::kMayHaveRun, *query);
-    return fail_because(id, "an attempt may have run");
+    record_violation(Denial::kMayHaveRun, *query);
+    return fail_request(id, "an attempt may have run");
   }
   ++counters_.refused;
   ++counters_.refusals[static_cast<std::size_t>(reason)];
   if (levels_.on() && reason != Reason::kShed)
     levels_.meters()->refused(now_, query->request.class_name, query->request.tenant);
-  if (trace_) trace_answered(id, name_of(reason), *query);
+  if (trace_enabled_) trace_answered(id, name_of(reason), *query);
   emit(AnswerRefused{query->client, query->tag, retry_after});
-  end(*query);
-  touched_.push_back(id);
+  end_request(*query);
+  queries_to_check_.push_back(id);
 }
 
-void Reducer::fail(QueryId id) { fail_because(id, ""); }
+void Reducer::fail(QueryId id) { fail_request(id, ""); }
 
-void Reducer::fail_because(QueryId id, const std::string& why) {
+void Reducer::fail_request(QueryId id, const std::string& why) {
   QueryState* query = find_query(id);
   if (query == nullptr || query->ended) return;
   ++counters_.failed;
-  note_answered(*query, true);
-  if (trace_) trace_answered(id, "failed", *query);
+  record_answer(*query, true);
+  if (trace_enabled_) trace_answered(id, "failed", *query);
   emit(AnswerFailed{query->client, query->tag, why});
-  end(*query);
-  touched_.push_back(id);
+  end_request(*query);
+  queries_to_check_.push_back(id);
 }
 
 void Reducer::cancel(QueryId id, int attempt) {
@@ -434,19 +439,22 @@
   const bool changed = query->priority != shifted;
   query->priority = shifted;
   query->grant_mb = level.grants < 1 ? std::floor(grant_mb * level.grants) : grant_mb;
-  for (std::size_t n = 0; changed && n < query->attempts.size(); ++n) {
-    if (query->attempts[n].phase == Phase::kRunning) call(id, n, CallKind::kPriority);
+  for (std::size_t attempt_index = 0; changed && attempt_index < query->attempts.size(); ++attempt_index) {
+    if (query->attempts[attempt_index].phase == Phase::kRunning)
+      start_call(id, attempt_index, CallKind::kPriority);
   }
 }
 
-void Reducer::probe(const EngineId&) { emit(LogText{log::Level::kDebug, "engines here can't be probed"}); }
+void Reducer::probe(const EngineId&) {
+  emit(LogText{log::Level::kDebug, "probe ignored: engines can't be probed"});
+}
 
-void Reducer::subscribe() {}  // the change log is followed from the start
+void Reducer::subscribe() {}  // the change log is followed from the start of the process
 
 void Reducer::fetch_list() {}
 
 void Reducer::tell_all(const std::string&) {
-  emit(LogText{log::Level::kDebug, "controllers here can't talk to each other"});
+  emit(LogText{log::Level::kDebug, "message to peers ignored: controllers can't exchange messages"});
 }
 
 void Reducer::set_timer(TimeUs delay, std::uint64_t token) {
@@ -455,8 +463,6 @@
 
 void Reducer::log(const std::string& text) { emit(LogText{log::Level::kDebug, text}); }
 
-// --- Records ----------------------------------------------------------------------------------------------
-
 std::optional<TimeUs> Reducer::next_due() const {
   const auto timer = timers_.next_due();
   const auto limit = limiter_.next_due();
@@ -464,13 +470,13 @@
 }
 
 std::size_t Reducer::open_requests_of(ClientId client) const {
-  const auto [first, last] = open_range(client);
+  const auto [first, last] = open_request_range(client);
   return static_cast<std::size_t>(std::distance(first, last));
 }
 
-Reducer::OpenRange Reducer::open_range(ClientId client) const {
+Reducer::OpenRequestRange Reducer::open_request_range(ClientId client) const {
   constexpr RequestTag kLeast = std::numeric_limits<RequestTag>::min();
-  return {open_.lower_bound({client, kLeast}), open_.lower_bound({client + 1, kLeast})};
+  return {open_requests_.lower_bound({client, kLeast}), open_requests_.lower_bound({client + 1, kLeast})};
 }
 
 Reducer::QueryState* Reducer::find_query(QueryId id) {
@@ -478,7 +484,9 @@
   return it == queries_.end() ? nullptr : &it->second;
 }
 
-Reducer::AttemptState& Reducer::attempt_at(QueryId id, std::size_t n) { return queries_.at(id).attempts[n]; }
+Reducer::AttemptState& Reducer::attempt_at(QueryId id, std::size_t attempt_index) {
+  return queries_.at(id).attempts[attempt_index];
+}
 
 QueryId Reducer::new_query_id() {
   do {
--- a/src/core/reducer.h
+++ b/src/core/reducer.h
@@ -1,6 +1,7 @@
-// All state of a controller but its sockets: queries, attempts, engine list, timers. One event in, the
-// effects that it asks for out. It decides nothing: what to send, refuse, cancel or fail comes from the
-// module, and the course of an attempt from the engines' protocol.
+// State machine of a controller: it owns the queries, attempts, engine list and timers, but no sockets. It
+// takes one event at a time and returns the side effects that the adapters are to carry out. The decision
+// module chooses what to send, refuse, cancel or fail; the engines' protocol determines the steps of an
+// attempt.
 #pragma once
 
 #include <deque>
@@ -26,15 +27,15 @@
 
 namespace orchidgw::core {
 
-// What the protocol fixes.
+// Bounds of the engines' and the clients' protocols. Times are in microseconds.
 struct ProtocolBounds {
-  TimeUs news_hold = 250'000;     // an engine holds a question for news at most this long
-  TimeUs forgotten = 2'000'000;   // an engine drops a query that is not asked for so long
-  TimeUs answer_grace = 100'000;  // a call is silent when nothing came so long past its hold
-  TimeUs overdue_after = 20'000;  // a query without its final answer so long past its time is failed
-  int broken_most = 8;            // calls in a row that may break before an attempt is given up
-  std::size_t result_bytes = 48'000;
-  std::size_t open_per_client = 32;
+  TimeUs poll_hold = 250'000;           // an engine delays the answer to a start or a poll at most this long
+  TimeUs engine_retention = 2'000'000;  // an engine drops a query that was not polled for this long
+  TimeUs answer_grace = 100'000;        // a call without an answer this long after its hold counts as silent
+  TimeUs final_answer_grace = 20'000;  // a query without a final answer this long past its deadline is failed
+  int max_broken_calls = 8;            // an attempt is given up after this many broken calls in a row
+  std::size_t max_result_bytes = 48'000;  // all pages of one result together
+  std::size_t max_open_requests_per_client = 32;
 };
 
 class Reducer final : private ActionSink {
@@ -42,99 +43,108 @@
   Reducer(const Settings& settings, std::uint64_t seed, metrics::Counters& counters,
           ProtocolBounds bounds = {});
 
-  // Tells of each query and attempt at debug level; off at the start.
-  void set_trace(bool on) { trace_ = on; }
+  // Switches debug-level log lines about each query and attempt on or off; off by default.
+  void set_trace(bool on) { trace_enabled_ = on; }
 
-  // Asked of each query that must not run twice, before it is taken on; none: intents are not kept.
-  using Keys = std::function<KeyVerdict(const std::string& identity)>;
-  void set_keys(Keys keys) { keys_ = std::move(keys); }
+  // Looks up whether a query that must not run twice may be accepted; called before each such query is
+  // accepted. Without a lookup no such check is made, and starts carry no identity to be stored or reserved.
+  using KeyLookup = std::function<KeyVerdict(const std::string& identity)>;
+  void set_keys(KeyLookup lookup) { key_lookup_ = std::move(lookup); }
 
-  // Takes one event in; the effects come in the order in which they are to be done.
+  // Processes one event. The caller carries out the returned effects in their order. `now` is in
+  // microseconds; a time before that of an earlier event counts as the earlier one's.
   std::vector<SideEffect> apply(TimeUs now, Event event);
 
-  // Whether the first byte of that start may go out in this moment; counted if not.
+  // Why the first byte of the start `call` may not be sent now; kNone if it may. A denial is counted.
   Denial start_denied(TimeUs now, CallId call);
 
+  // When the next TimePassed event is due; none if no timer is set.
   std::optional<TimeUs> next_due() const;
   const limits::Limiter& limiter() const { return limiter_; }
   const service_level::ServiceLevel& levels() const { return levels_; }
-  void set_buffers_used(double share) { buffers_used_ = share; }  // as the levels' signals see it
-  bool ready() const { return list_known_; }                      // the module can decide
-  std::size_t open_requests() const { return open_.size(); }
+  // Share of the buffer pool in use, 0 to 1: a signal for the service levels.
+  void set_buffers_used(double share) { buffers_used_ = share; }
+  // Whether the engine list has been received; until then all requests are failed as "not ready".
+  bool ready() const { return engine_list_known_; }
+  // Number of requests without a final answer; a query may outlive its request.
+  std::size_t open_requests() const { return open_requests_.size(); }
   std::size_t open_requests_of(ClientId client) const;
-  std::size_t held_bytes() const { return held_bytes_; }  // statements of all queries
+  std::size_t held_bytes() const { return statement_bytes_; }  // total size of all queries' statements
+  // Numbers of queries, of calls that have not ended, and of listed engines.
   std::size_t queries() const { return queries_.size(); }
   std::size_t calls() const { return calls_.size(); }
   std::size_t engines() const { return engines_.size(); }
-  double cores() const;  // of all engines in service
+  double cores() const;  // CPU cores of all engines in service
 
  private:
+  // kPaging: the query has succeeded and its result pages are fetched. kGivingUp: the engine is being told to
+  // stop, or has yet to drop the query. kOver: the engine has nothing left of the attempt.
   enum class Phase { kRunning, kPaging, kGivingUp, kOver };
 
   struct AttemptState {
     EngineId engine;
-    std::string zone;  // of the engine, as is the cell
+    std::string zone;  // the engine's, as is the cell
     int cell = 0;
     Address address;
     TimeUs sent_at = 0;
-    TimeUs stop_at = 0;
+    TimeUs stop_at = 0;  // the attempt is given up then
     Phase phase = Phase::kRunning;
-    CallId call = 0;  // the one that is out; 0: none
-    CallKind call_kind = CallKind::kStart;
-    bool started = false;  // the engine may have the query
-    bool told = false;     // the module knows its end
-    AttemptId serial = 0;  // as the adapters know it; 0: it was never sent
-    TimeUs heard_at = 0;   // its last whole answer, or its start
-    int broken = 0;        // calls in a row that broke
-    int pages = 0;         // of the result, once it is known
-    std::vector<PayloadPtr> rows;
-    std::optional<TimeUs> told_cost;
+    CallId open_call = 0;                   // 0: none; priority changes don't count
+    CallKind call_kind = CallKind::kStart;  // of the open call, or of the last one
+    bool may_have_started = false;          // the engine may have the query
+    bool outcome_reported = false;          // the module has its outcome, or will get it after this event
+    AttemptId adapter_id = 0;               // the adapters' id of the attempt; 0: it was never sent
+    TimeUs last_answer_at = 0;  // when the last complete answer came; before that, when it was sent
+    int broken_calls = 0;       // in a row
+    int page_count = 0;         // of the result, once it is known
+    std::vector<PayloadPtr> result_pages;  // those received so far, in order
+    std::optional<TimeUs> told_cost;       // as the engine reported them
     std::optional<double> told_memory_mb;
-    OutcomeKind given_up_as = OutcomeKind::kCancelled;
-    bool ran = true;      // once it is over: whether it may have
-    bool unsent = false;  // likewise: whether not a byte of it was sent
+    OutcomeKind give_up_outcome = OutcomeKind::kCancelled;  // reported once giving up is done
+    bool may_have_run = true;                               // valid once the attempt is over
+    bool unsent = false;  // valid once the attempt is over: no byte of it was sent
   };
 
   struct QueryState {
     ClientId client = 0;
     RequestTag tag = 0;
     ClientRequest request;
-    TimeUs taken_at = 0;
+    TimeUs accepted_at = 0;
     TimeUs deadline = 0;
-    int class_index = 0;
+    int class_index = 0;  // in Settings::classes
     std::int64_t table_group = 0;
-    bool let_in = false;  // the module has it; else it waits for its turn under its limits
+    bool admitted = false;  // passed to the module; false: it still waits under its limits
     int priority = 1;
     double grant_mb = 0;
-    bool ended = false;  // answered, or nothing is owed any more
+    bool ended = false;  // answered, or no answer is owed any more
     std::vector<AttemptState> attempts;
   };
 
   struct CallOwner {
     QueryId query = 0;
-    std::size_t attempt = 0;
+    std::size_t attempt_index = 0;
     CallKind kind = CallKind::kNews;
   };
 
-  enum class TimerKind { kModule, kStop, kForgotten, kSample, kOverdue, kShutDown };
+  enum class TimerKind { kModule, kAttemptStop, kEngineRetention, kLevelSample, kOverdue, kShutDown };
   struct Timer {
     TimerKind kind = TimerKind::kModule;
-    std::uint64_t token = 0;  // of kModule
-    QueryId query = 0;
-    std::size_t attempt = 0;
+    std::uint64_t token = 0;        // only of kModule
+    QueryId query = 0;              // not of kModule and kLevelSample
+    std::size_t attempt_index = 0;  // only of kAttemptStop and kEngineRetention
   };
 
+  // An outcome that the module has yet to get.
   struct PendingOutcome {
     QueryId query = 0;
-    std::size_t attempt = 0;
+    std::size_t attempt_index = 0;
     OutcomeKind kind = OutcomeKind::kMoot;
   };
 
-  using OpenKey = std::pair<ClientId, RequestTag>;
-  using OpenMap = std::map<OpenKey, QueryId>;
-  using OpenRange = std::pair<OpenMap::const_iterator, OpenMap::const_iterator>;
+  using RequestKey = std::pair<ClientId, RequestTag>;
+  using OpenRequestMap = std::map<RequestKey, QueryId>;
+  using OpenRequestRange = std::pair<OpenRequestMap::const_iterator, OpenRequestMap::const_iterator>;
 
-  // Events.
   void on(EnginesChanged& event);
   void on(RequestArrived& event);
   void on(RequestAborted& event);
@@ -147,64 +157,74 @@
   void on(FleetShared& event);
   void on(ShutdownBegun& event);
 
-  // What is wrong with a request of that class; empty: nothing.
-  std::string fault_of(const ClientRequest& request, const ClassSettings& c) const;
-  void take(RequestArrived& event, int class_index);
-  void follow(QueryId id, const limits::Verdict& verdict);
-  void let_in(QueryId id);
+  // Why a request of that class can't be accepted; empty if it can.
+  std::string validation_error(const ClientRequest& request, const ClassSettings& query_class) const;
+  void accept_request(RequestArrived& event, int class_index);
+  void apply_verdict(QueryId id, const limits::Verdict& verdict);
+  void pass_to_module(QueryId id);
+  // Refuses the request, which tells the client that a retry is harmless. If an attempt may have run, records
+  // a violation and fails the request instead. Does nothing for a request that has its answer.
   void turn_away(QueryId id, Reason reason, TimeUs retry_after);
   const ClassSettings& class_of(const QueryState& query) const {
     return settings_.classes[static_cast<std::size_t>(query.class_index)];
   }
-  // The longest time to come back that a refusal may tell; 0: none.
+  // The longest retry_after that a refusal may carry; 0: refusals carry none.
   TimeUs longest_advice() const {
     return settings_.limits.retry_after ? settings_.limits.max_retry_after : 0;
   }
-  bool may_be_taken_on(QueryId id);
-  std::string identity_of(const QueryState& query) const;  // empty: it may run twice
-  void not_promised(QueryId id, std::size_t n, ConnectionEnd end);
+  // Returns false if the query may have run before or its intent can't be stored; it has its answer then.
+  bool passes_key_check(QueryId id);
+  // What a query that must not run twice is stored and reserved under; empty if it may run twice.
+  std::string identity_of(const QueryState& query) const;
+  void handle_blocked_start(QueryId id, std::size_t attempt_index, ConnectionEnd end);
   void free_key(QueryId id, const QueryState& query);
-  void fail_because(QueryId id, const std::string& why);
-  void release_those_due();
-  service_level::ShedQuery as_shed_sees(const QueryState& query) const;
+  // Fails the request with `why` as the text for the client. Does nothing for a request that has its answer.
+  void fail_request(QueryId id, const std::string& why);
+  void release_waiting_queries();
+  service_level::ShedQuery to_shed_query(const QueryState& query) const;
+  // Samples the service levels' signals and applies level changes; `due`: when the sample was due.
   void sample_signals(TimeUs due);
   void shed(QueryId id);
-  void shed_those_held();
-  void tell_levels_of_engines();
-  void note_answered(const QueryState& query, bool late);
-  void leave(const OpenKey& key);
-  void withdraw_from_those_leaving();
-  void withdraw_unsent(const AttemptState& attempt);
+  void shed_unsent_queries();
+  void update_level_engines();
+  void record_answer(const QueryState& query, bool late);
+  void leave(const RequestKey& key);
+  void withdraw_from_leaving_engines();
+  // Withdraws the attempt's start if that call is open; a start whose first byte was sent goes on.
+  void withdraw_unsent_start(const AttemptState& attempt);
 
-  // The course of an attempt.
-  void answered(QueryId id, std::size_t n, CallAnswer& answer);
-  void served(QueryId id, std::size_t n, CallAnswer& answer);
-  void page_came(QueryId id, std::size_t n, CallAnswer& answer);
-  void next_page(QueryId id, std::size_t n);
-  void broke(QueryId id, std::size_t n, ConnectionEnd end);
-  void ask_again(QueryId id, std::size_t n, CallKind kind, OutcomeKind else_as);
-  void give_up(QueryId id, std::size_t n, OutcomeKind as);
-  void stopped_asking(QueryId id, std::size_t n, ConnectionEnd end);
-  void give_up_broke(QueryId id, std::size_t n, ConnectionEnd end);
-  void stop_due(QueryId id, std::size_t n);
-  void forgotten_due(QueryId id, std::size_t n);
-  void overdue(QueryId id);
-  void shut_down(QueryId id);
+  // Steps of an attempt.
+  void handle_answer(QueryId id, std::size_t attempt_index, CallAnswer& answer);
+  void handle_result(QueryId id, std::size_t attempt_index, CallAnswer& answer);
+  void handle_page(QueryId id, std::size_t attempt_index, CallAnswer& answer);
+  // Fetches the next result page, or concludes the attempt if it was the last one or the result is too large.
+  void continue_paging(QueryId id, std::size_t attempt_index);
+  void handle_broken_call(QueryId id, std::size_t attempt_index, ConnectionEnd end);
+  void retry_call(QueryId id, std::size_t attempt_index, CallKind kind, OutcomeKind fallback_outcome);
+  void give_up(QueryId id, std::size_t attempt_index, OutcomeKind as);
+  void handle_dropped_call_end(QueryId id, std::size_t attempt_index, ConnectionEnd end);
+  void handle_broken_give_up(QueryId id, std::size_t attempt_index, ConnectionEnd end);
+  void handle_stop_timer(QueryId id, std::size_t attempt_index);
+  // Concludes an attempt that is being given up: by now its engine has dropped the query by itself.
+  void handle_retention_timer(QueryId id, std::size_t attempt_index);
+  void fail_overdue(QueryId id);
+  void answer_for_shutdown(QueryId id);
   void set_final_answer_timer(QueryId id, TimeUs due);
-  Denial start_denied(const QueryState& query, std::size_t n, TimeUs now) const;
+  Denial start_denied(const QueryState& query, std::size_t attempt_index, TimeUs now) const;
   bool may_refuse(const QueryState& query) const;
-  static EarlierAttempt as_earlier(const AttemptState& attempt);
-  void note_violation(Denial denial, const QueryState& query);
-  void call(QueryId id, std::size_t n, CallKind kind);
-  std::optional<CallOwner> release(CallId call);
+  static EarlierAttempt to_earlier_attempt(const AttemptState& attempt);
+  // Counts and logs an action that was asked for but is not allowed: a fault of the program.
+  void record_violation(Denial denial, const QueryState& query);
+  void start_call(QueryId id, std::size_t attempt_index, CallKind kind);
+  std::optional<CallOwner> release_call(CallId call);
 
-  // An attempt's end, told to the module.
-  void finish(QueryId id, std::size_t n, OutcomeKind kind);
-  void conclude(QueryId id, std::size_t n, OutcomeKind kind);
-  void deliver(const PendingOutcome& pending);
-  void deliver_pending();
-  void forget_what_is_over();
-  void end(QueryState& query);
+  // An attempt's end and its outcome for the module.
+  void queue_outcome(QueryId id, std::size_t attempt_index, OutcomeKind kind);  // once for each attempt
+  void conclude(QueryId id, std::size_t attempt_index, OutcomeKind kind);
+  void deliver_outcome(const PendingOutcome& pending);
+  void deliver_pending_outcomes();
+  void erase_finished_queries();
+  void end_request(QueryState& query);
 
   // ActionSink: what the module asks for.
   void send(QueryId query, const EngineId& engine, TimeUs stop_at) override;
@@ -219,13 +239,13 @@
   void set_timer(TimeUs delay, std::uint64_t token) override;
   void log(const std::string& text) override;
 
-  void set_timer_for(TimerKind kind, TimeUs due, QueryId id, std::size_t n);
-  OpenRange open_range(ClientId client) const;  // what the client is owed answers to
-  QueryState* find_query(QueryId id);
-  AttemptState& attempt_at(QueryId id, std::size_t n);
+  void schedule_timer(TimerKind kind, TimeUs due, QueryId id, std::size_t attempt_index);
+  OpenRequestRange open_request_range(ClientId client) const;  // the client's open requests
+  QueryState* find_query(QueryId id);                          // null if it is not known (any more)
+  AttemptState& attempt_at(QueryId id, std::size_t attempt_index);
   QueryId new_query_id();
-  void trace_taken(const Query& q, const QueryState& query);
-  void trace_sent(QueryId id, std::size_t n, const QueryState& query);
+  void trace_accepted(const Query& module_query, const QueryState& query);
+  void trace_sent(QueryId id, std::size_t attempt_index, const QueryState& query);
   void trace_ended(const Outcome& outcome, const QueryState& query);
   void trace_call_ended(const CallOwner& owner, ConnectionEnd end);
   void trace_answered(QueryId id, const char* how, const QueryState& query);
@@ -235,27 +255,28 @@
   metrics::Counters& counters_;
   ProtocolBounds bounds_;
   std::unique_ptr<DecisionModule> module_;
-  std::map<std::string, int> classes_;
-  bool list_known_ = false;
-  bool trace_ = false;
-  TimeUs now_ = 0;
-  std::vector<SideEffect> effects_;
-  Keys keys_;
+  std::map<std::string, int> class_indexes_;  // by class name
+  bool engine_list_known_ = false;
+  bool trace_enabled_ = false;
+  TimeUs now_ = 0;                   // of the event that is being processed
+  std::vector<SideEffect> effects_;  // of that event so far
+  KeyLookup key_lookup_;             // may be empty
   std::map<EngineId, EngineListing> engines_;
   std::unordered_map<QueryId, QueryState> queries_;
-  OpenMap open_;  // requests that are owed an answer
+  OpenRequestMap open_requests_;  // requests that are owed an answer
   std::unordered_map<CallId, CallOwner> calls_;
   TimerQueue<Timer> timers_;
-  std::deque<PendingOutcome> pending_;
-  std::vector<QueryId> touched_;  // looked at once the event is done: what is over is forgotten
-  // References of all queries that an engine may have, lest two share one there.
+  std::deque<PendingOutcome> pending_outcomes_;
+  std::vector<QueryId> queries_to_check_;  // erased after the event if they are finished
+  // References of all queries, so that an engine never has two under the same one.
   std::unordered_set<std::string> references_;
   limits::Limiter limiter_;
   service_level::ServiceLevel levels_;
   double buffers_used_ = 0;
-  TimeUs answer_by_ = std::numeric_limits<TimeUs>::max();  // of a shutdown that has begun
-  bool sampling_ = false;                                  // the timer for the next sample is set
-  std::size_t held_bytes_ = 0;
+  // When all requests must have their answers, once a shutdown has begun.
+  TimeUs shutdown_answer_by_ = std::numeric_limits<TimeUs>::max();
+  bool sample_timer_set_ = false;
+  std::size_t statement_bytes_ = 0;
   AttemptId last_attempt_ = 0;
   QueryId last_query_ = 0;
   CallId last_call_ = 0;
--- a/src/core/reducer_attempts.cpp
+++ b/src/core/reducer_attempts.cpp
@@ -1,4 +1,5 @@
-// The course of an attempt in the reducer: its calls, their answers and ends, and what the module is told.
+// The reducer's handling of attempts: their calls, the answers to them, how calls end, and the outcomes that
+// the decision module gets.
 #include <algorithm>
 #include <utility>
 
@@ -6,321 +7,329 @@
 
 namespace orchidgw::core {
 
-// Asks the engine; the call is the attempt's only one, but for changes of priority.
-void Reducer::call(QueryId id, std::size_t n, CallKind kind) {
+// Starts a call to the attempt's engine. An attempt has one call at a time, apart from priority changes.
+void Reducer::start_call(QueryId id, std::size_t attempt_index, CallKind kind) {
   const QueryState& query = queries_.at(id);
-  AttemptState& a = attempt_at(id, n);
+  AttemptState& attempt = attempt_at(id, attempt_index);
   StartCall start;
   start.call = ++last_call_;
-  start.attempt = a.serial;
+  start.attempt = attempt.adapter_id;
   start.kind = kind;
-  start.engine = a.engine;
-  start.address = a.address;
+  start.engine = attempt.engine;
+  start.address = attempt.address;
   start.reference = query.request.reference;
-  const bool held = kind == CallKind::kStart || kind == CallKind::kNews;
-  start.answer_by = now_ + bounds_.answer_grace + (held ? bounds_.news_hold : 0);
+  const bool may_be_held = kind == CallKind::kStart || kind == CallKind::kNews;
+  start.answer_by = now_ + bounds_.answer_grace + (may_be_held ? bounds_.poll_hold : 0);
   start.priority = query.priority;
-  // Guards against a second copy of the last answer, some milliseconds late on the connection that the
-  // attempt has: taken for the answer to this call, the attempt passed for over while its engine still ran
-  // it.
-  if (kind == CallKind::kGiveUp && a.serial > 0) emit(CloseConnection{a.serial});
-  if (kind == CallKind::kPage) start.page = static_cast<int>(a.rows.size());
+  // A duplicate of the previous answer can arrive some milliseconds late on the attempt's connection. Read as
+  // the answer to this call, it would end the attempt while the engine still runs the query.
+  if (kind == CallKind::kGiveUp && attempt.adapter_id > 0) emit(CloseConnection{attempt.adapter_id});
+  if (kind == CallKind::kPage) start.page = static_cast<int>(attempt.result_pages.size());
   if (kind == CallKind::kStart) {
     start.class_name = query.request.class_name;
     start.idempotency_key = query.request.idempotency_key;
     start.statement = query.request.statement;
     start.grant_mb = query.grant_mb;
-    if (keys_) {
-      const ClassSettings& c = class_of(query);
+    if (key_lookup_) {
+      const ClassSettings& query_class = class_of(query);
       start.query = id;
       start.identity = identity_of(query);
-      start.rest = rest_of(c);
+      start.rest = rest_of(query_class);
     }
-    start.stop_at = a.stop_at;
+    start.stop_at = attempt.stop_at;
   }
   if (kind != CallKind::kPriority) {
-    a.call = start.call;
-    a.call_kind = kind;
+    attempt.open_call = start.call;
+    attempt.call_kind = kind;
   }
-  calls_[start.call] = {id, n, kind};
+  calls_[start.call] = {id, attempt_index, kind};
   ++counters_.calls;
   emit(std::move(start));
 }
 
-// The owner of a call that is over, if an attempt still waits for it: a dropped call may outlive its query.
-std::optional<Reducer::CallOwner> Reducer::release(CallId call) {
+// Removes a call that is over. Returns its owner if an attempt still waits for it; a dropped call may outlive
+// its query.
+std::optional<Reducer::CallOwner> Reducer::release_call(CallId call) {
   const auto it = calls_.find(call);
   if (it == calls_.end()) return std::nullopt;
   const CallOwner owner = it->second;
   calls_.erase(it);
   if (owner.kind == CallKind::kPriority || find_query(owner.query) == nullptr) return std::nullopt;
-  AttemptState& a = attempt_at(owner.query, owner.attempt);
-  if (a.call != call) return std::nullopt;
-  a.call = 0;
+  AttemptState& attempt = attempt_at(owner.query, owner.attempt_index);
+  if (attempt.open_call != call) return std::nullopt;
+  attempt.open_call = 0;
   return owner;
 }
 
 void Reducer::on(CallAnswered& event) {
-  const auto owner = release(event.call);
+  const auto owner = release_call(event.call);
   if (!owner) return;
-  attempt_at(owner->query, owner->attempt).started = true;
-  answered(owner->query, owner->attempt, event.answer);
+  attempt_at(owner->query, owner->attempt_index).may_have_started = true;
+  handle_answer(owner->query, owner->attempt_index, event.answer);
 }
 
 void Reducer::on(CallEnded& event) {
-  const auto owner = release(event.call);
+  const auto owner = release_call(event.call);
   if (!owner) return;
-  AttemptState& a = attempt_at(owner->query, owner->attempt);
-  a.started = a.started || may_have_arrived(event.end);
-  if (trace_) trace_call_ended(*owner, event.end);
-  if (a.phase == Phase::kOver) return;
+  AttemptState& attempt = attempt_at(owner->query, owner->attempt_index);
+  attempt.may_have_started = attempt.may_have_started || may_have_arrived(event.end);
+  if (trace_enabled_) trace_call_ended(*owner, event.end);
+  if (attempt.phase == Phase::kOver) return;
   if (event.end == ConnectionEnd::kKeyRests || event.end == ConnectionEnd::kNoIntent)
-    return not_promised(owner->query, owner->attempt, event.end);
-  if (a.phase != Phase::kGivingUp) return broke(owner->query, owner->attempt, event.end);
-  if (a.call_kind == CallKind::kGiveUp) return give_up_broke(owner->query, owner->attempt, event.end);
-  stopped_asking(owner->query, owner->attempt, event.end);
+    return handle_blocked_start(owner->query, owner->attempt_index, event.end);
+  if (attempt.phase != Phase::kGivingUp)
+    return handle_broken_call(owner->query, owner->attempt_index, event.end);
+  if (attempt.call_kind == CallKind::kGiveUp)
+    return handle_broken_give_up(owner->query, owner->attempt_index, event.end);
+  handle_dropped_call_end(owner->query, owner->attempt_index, event.end);
 }
 
-void Reducer::answered(QueryId id, std::size_t n, CallAnswer& answer) {
-  AttemptState& a = attempt_at(id, n);
-  if (a.phase == Phase::kOver) return;
-  a.heard_at = now_;
-  if (a.call_kind == CallKind::kGiveUp) {  // whatever it said, the call came whole
-    return conclude(id, n, a.given_up_as);
+void Reducer::handle_answer(QueryId id, std::size_t attempt_index, CallAnswer& answer) {
+  AttemptState& attempt = attempt_at(id, attempt_index);
+  if (attempt.phase == Phase::kOver) return;
+  attempt.last_answer_at = now_;
+  if (attempt.call_kind == CallKind::kGiveUp) {  // any answer means that the engine got the call
+    return conclude(id, attempt_index, attempt.give_up_outcome);
   }
-  if (a.call_kind == CallKind::kPage) return page_came(id, n, answer);
+  if (attempt.call_kind == CallKind::kPage) return handle_page(id, attempt_index, answer);
   switch (answer.kind) {
     case CallAnswer::Kind::kNotYet:
-      a.broken = 0;
-      if (a.phase == Phase::kGivingUp) return call(id, n, CallKind::kGiveUp);
-      return call(id, n, CallKind::kNews);
+      attempt.broken_calls = 0;
+      if (attempt.phase == Phase::kGivingUp) return start_call(id, attempt_index, CallKind::kGiveUp);
+      return start_call(id, attempt_index, CallKind::kNews);
     case CallAnswer::Kind::kServed:
-      return served(id, n, answer);
+      return handle_result(id, attempt_index, answer);
     case CallAnswer::Kind::kFull:
     case CallAnswer::Kind::kOver:
-      return conclude(id, n, OutcomeKind::kFull);
+      return conclude(id, attempt_index, OutcomeKind::kFull);
     case CallAnswer::Kind::kError:
     case CallAnswer::Kind::kPage:
     case CallAnswer::Kind::kDone:
-      return conclude(id, n, OutcomeKind::kError);
+      return conclude(id, attempt_index, OutcomeKind::kError);
   }
 }
 
-void Reducer::served(QueryId id, std::size_t n, CallAnswer& answer) {
-  AttemptState& a = attempt_at(id, n);
-  a.told_cost = answer.told_cost;
-  a.told_memory_mb = answer.told_memory_mb;
-  a.pages = answer.pages;
-  a.phase = Phase::kPaging;
-  a.broken = 0;
-  a.rows.push_back(std::move(answer.rows));
-  next_page(id, n);
+void Reducer::handle_result(QueryId id, std::size_t attempt_index, CallAnswer& answer) {
+  AttemptState& attempt = attempt_at(id, attempt_index);
+  attempt.told_cost = answer.told_cost;
+  attempt.told_memory_mb = answer.told_memory_mb;
+  attempt.page_count = answer.pages;
+  attempt.phase = Phase::kPaging;
+  attempt.broken_calls = 0;
+  attempt.result_pages.push_back(std::move(answer.rows));
+  continue_paging(id, attempt_index);
 }
 
-void Reducer::page_came(QueryId id, std::size_t n, CallAnswer& answer) {
-  AttemptState& a = attempt_at(id, n);
-  if (answer.kind != CallAnswer::Kind::kPage) return conclude(id, n, OutcomeKind::kError);
-  // Guards against a second copy that is taken for the answer to the next call.
-  if (answer.page != static_cast<int>(a.rows.size())) {
-    emit(CloseConnection{a.serial});
-    return ask_again(id, n, CallKind::kPage, OutcomeKind::kError);
+void Reducer::handle_page(QueryId id, std::size_t attempt_index, CallAnswer& answer) {
+  AttemptState& attempt = attempt_at(id, attempt_index);
+  if (answer.kind != CallAnswer::Kind::kPage) return conclude(id, attempt_index, OutcomeKind::kError);
+  // A wrong page number means a duplicate of an earlier answer; reading on would take it for the next answer.
+  if (answer.page != static_cast<int>(attempt.result_pages.size())) {
+    emit(CloseConnection{attempt.adapter_id});
+    return retry_call(id, attempt_index, CallKind::kPage, OutcomeKind::kError);
   }
-  a.broken = 0;
-  a.rows.push_back(std::move(answer.rows));
-  next_page(id, n);
+  attempt.broken_calls = 0;
+  attempt.result_pages.push_back(std::move(answer.rows));
+  continue_paging(id, attempt_index);
 }
 
-void Reducer::next_page(QueryId id, std::size_t n) {
-  AttemptState& a = attempt_at(id, n);
+void Reducer::continue_paging(QueryId id, std::size_t attempt_index) {
+  AttemptState& attempt = attempt_at(id, attempt_index);
   std::size_t bytes = 0;
-  for (const auto& page : a.rows) bytes += page ? page->size() : 0;
-  const bool whole = static_cast<int>(a.rows.size()) >= a.pages;
-  if (bytes > bounds_.result_bytes) {
-    return conclude(id, n, OutcomeKind::kError);
+  for (const auto& page : attempt.result_pages) bytes += page ? page->size() : 0;
+  const bool whole = static_cast<int>(attempt.result_pages.size()) >= attempt.page_count;
+  if (bytes > bounds_.max_result_bytes) {
+    return conclude(id, attempt_index, OutcomeKind::kError);
   }
-  if (!whole && !queries_.at(id).ended) return call(id, n, CallKind::kPage);
-  conclude(id, n, OutcomeKind::kOk);
+  if (!whole && !queries_.at(id).ended) return start_call(id, attempt_index, CallKind::kPage);
+  conclude(id, attempt_index, OutcomeKind::kOk);
 }
 
-// A call ended without an answer that can be used. A query belongs to no connection, and after a good end its
-// engine gives the answer and its pages again: they are asked for on another connection, as long as the
-// engine can still have the query and few calls in a row broke. Guards against spoilt, cut and lost answers,
-// whose query ran.
-void Reducer::broke(QueryId id, std::size_t n, ConnectionEnd end) {
-  AttemptState& a = attempt_at(id, n);
-  const OutcomeKind outcome = outcome_of(end, a.started);
-  if (!a.started || end == ConnectionEnd::kRefused) {  // it never ran, or nothing runs there any more
-    return conclude(id, n, outcome);
+// Handles a call that ended without a usable answer. A query is not tied to a connection, and an engine
+// repeats the answer and its pages after a query has succeeded. So the call is retried on another connection,
+// as long as the engine can still have the query and few calls in a row broke. This saves queries that ran
+// but whose answer was corrupted, truncated or lost.
+void Reducer::handle_broken_call(QueryId id, std::size_t attempt_index, ConnectionEnd end) {
+  AttemptState& attempt = attempt_at(id, attempt_index);
+  const OutcomeKind outcome = outcome_of(end, attempt.may_have_started);
+  if (!attempt.may_have_started || end == ConnectionEnd::kRefused) {
+    // It never ran, or no engine runs there any more.
+    return conclude(id, attempt_index, outcome);
   }
-  const bool may_be_there = a.phase == Phase::kPaging || now_ - a.heard_at < bounds_.forgotten;
-  if (!may_be_there) return give_up(id, n, outcome);
-  ask_again(id, n, a.phase == Phase::kPaging ? CallKind::kPage : CallKind::kNews, outcome);
+  const bool may_be_there =
+      attempt.phase == Phase::kPaging || now_ - attempt.last_answer_at < bounds_.engine_retention;
+  if (!may_be_there) return give_up(id, attempt_index, outcome);
+  retry_call(id, attempt_index, attempt.phase == Phase::kPaging ? CallKind::kPage : CallKind::kNews, outcome);
 }
 
-// Once too many calls in a row broke, the attempt is given up. One that is being given up already waits for
-// the timer by which its engine will have dropped it.
-void Reducer::ask_again(QueryId id, std::size_t n, CallKind kind, OutcomeKind else_as) {
-  AttemptState& a = attempt_at(id, n);
-  if (a.broken >= bounds_.broken_most) return give_up(id, n, else_as);
-  ++a.broken;
+// Gives the attempt up once too many calls in a row broke. For an attempt that is already being given up no
+// further call is made: it ends with the timer at which its engine has dropped the query.
+void Reducer::retry_call(QueryId id, std::size_t attempt_index, CallKind kind, OutcomeKind fallback_outcome) {
+  AttemptState& attempt = attempt_at(id, attempt_index);
+  if (attempt.broken_calls >= bounds_.max_broken_calls) return give_up(id, attempt_index, fallback_outcome);
+  ++attempt.broken_calls;
   ++counters_.asked_again;
-  call(id, n, kind);
+  start_call(id, attempt_index, kind);
 }
 
-// Guards against two attempts at once: an attempt that is given up is out until its engine has heard of it
-// or has dropped the query by itself. Its outcome is told then, or when the query's time ends.
-void Reducer::give_up(QueryId id, std::size_t n, OutcomeKind as) {
-  AttemptState& a = attempt_at(id, n);
-  if (a.phase == Phase::kGivingUp || a.phase == Phase::kOver) return;
-  a.given_up_as = as;
-  const bool paging = a.phase == Phase::kPaging;  // it has ended at the engine
-  if (a.call != 0) emit(DropCall{a.call});
+// An attempt that is given up stays open until its engine has confirmed it or has dropped the query by
+// itself, so that no second attempt runs beside it. Its outcome is reported then, or at the query's deadline.
+void Reducer::give_up(QueryId id, std::size_t attempt_index, OutcomeKind as) {
+  AttemptState& attempt = attempt_at(id, attempt_index);
+  if (attempt.phase == Phase::kGivingUp || attempt.phase == Phase::kOver) return;
+  attempt.give_up_outcome = as;
+  const bool paging = attempt.phase == Phase::kPaging;  // the engine has finished the query
+  if (attempt.open_call != 0) emit(DropCall{attempt.open_call});
   if (paging) {
-    return conclude(id, n, as);
+    return conclude(id, attempt_index, as);
   }
-  a.phase = Phase::kGivingUp;
-  a.broken = 0;
-  if (now_ >= queries_.at(id).deadline) finish(id, n, as);
-  set_timer_for(TimerKind::kForgotten, now_ + bounds_.forgotten + bounds_.news_hold, id, n);
-  if (a.call == 0) call(id, n, CallKind::kGiveUp);
+  attempt.phase = Phase::kGivingUp;
+  attempt.broken_calls = 0;
+  if (now_ >= queries_.at(id).deadline) queue_outcome(id, attempt_index, as);
+  schedule_timer(TimerKind::kEngineRetention, now_ + bounds_.engine_retention + bounds_.poll_hold, id,
+                 attempt_index);
+  if (attempt.open_call == 0) start_call(id, attempt_index, CallKind::kGiveUp);
 }
 
-// The call that was dropped has ended; unless nothing can be there, the engine is told to stop.
-void Reducer::stopped_asking(QueryId id, std::size_t n, ConnectionEnd end) {
-  AttemptState& a = attempt_at(id, n);
-  if (a.started && end != ConnectionEnd::kRefused) return call(id, n, CallKind::kGiveUp);
-  conclude(id, n, a.given_up_as);
+// The dropped call has ended. The engine is told to stop, unless it cannot have the query.
+void Reducer::handle_dropped_call_end(QueryId id, std::size_t attempt_index, ConnectionEnd end) {
+  AttemptState& attempt = attempt_at(id, attempt_index);
+  if (attempt.may_have_started && end != ConnectionEnd::kRefused)
+    return start_call(id, attempt_index, CallKind::kGiveUp);
+  conclude(id, attempt_index, attempt.give_up_outcome);
 }
 
-// An answer that began, readable or not, says that the call came whole.
-void Reducer::give_up_broke(QueryId id, std::size_t n, ConnectionEnd end) {
-  AttemptState& a = attempt_at(id, n);
-  const bool heard = end == ConnectionEnd::kUnreadable || end == ConnectionEnd::kClosedMidAnswer ||
-                     end == ConnectionEnd::kResetMidAnswer;
-  if (heard || end == ConnectionEnd::kRefused) return conclude(id, n, a.given_up_as);
-  ask_again(id, n, CallKind::kGiveUp, a.given_up_as);
+// An answer that began, readable or not, shows that the engine got the whole call.
+void Reducer::handle_broken_give_up(QueryId id, std::size_t attempt_index, ConnectionEnd end) {
+  AttemptState& attempt = attempt_at(id, attempt_index);
+  const bool answer_began = end == ConnectionEnd::kUnreadable || end == ConnectionEnd::kClosedMidAnswer ||
+                            end == ConnectionEnd::kResetMidAnswer;
+  if (answer_began || end == ConnectionEnd::kRefused)
+    return conclude(id, attempt_index, attempt.give_up_outcome);
+  retry_call(id, attempt_index, CallKind::kGiveUp, attempt.give_up_outcome);
 }
 
-void Reducer::stop_due(QueryId id, std::size_t n) {
-  AttemptState& a = attempt_at(id, n);
-  if (a.phase == Phase::kOver) return;
-  if (a.phase != Phase::kGivingUp) return give_up(id, n, OutcomeKind::kTimeout);
-  if (now_ >= queries_.at(id).deadline) finish(id, n, a.given_up_as);
+void Reducer::handle_stop_timer(QueryId id, std::size_t attempt_index) {
+  AttemptState& attempt = attempt_at(id, attempt_index);
+  if (attempt.phase == Phase::kOver) return;
+  if (attempt.phase != Phase::kGivingUp) return give_up(id, attempt_index, OutcomeKind::kTimeout);
+  if (now_ >= queries_.at(id).deadline) queue_outcome(id, attempt_index, attempt.give_up_outcome);
 }
 
-void Reducer::forgotten_due(QueryId id, std::size_t n) {
-  AttemptState& a = attempt_at(id, n);
-  if (a.phase != Phase::kGivingUp) return;
+void Reducer::handle_retention_timer(QueryId id, std::size_t attempt_index) {
+  AttemptState& attempt = attempt_at(id, attempt_index);
+  if (attempt.phase != Phase::kGivingUp) return;
   ++counters_.unconfirmed;
-  if (a.call != 0) emit(DropCall{a.call});
-  conclude(id, n, a.given_up_as);
+  if (attempt.open_call != 0) emit(DropCall{attempt.open_call});
+  conclude(id, attempt_index, attempt.give_up_outcome);
 }
 
-// Guards against a request that gets no final answer, whatever kept the module from giving one.
-void Reducer::overdue(QueryId id) {
+// Fails a request that has no final answer after its deadline, whatever kept the module from giving one.
+void Reducer::fail_overdue(QueryId id) {
   const QueryState* query = find_query(id);
   if (query == nullptr || query->ended) return;
   ++counters_.answers_overdue;
   const bool with_module = query->let_in;
-  fail_because(id, "its time is over");
+  fail_request(id, "its deadline has passed");
   if (with_module) module_->on_client_gone(now_, id, *this);
 }
 
-// Guards against a request that the end of the process leaves without an answer.
-void Reducer::shut_down(QueryId id) {
+// Answers a request that would be left without an answer when the process ends.
+void Reducer::answer_for_shutdown(QueryId id) {
   const QueryState* query = find_query(id);
   if (query == nullptr || query->ended) return;
   const bool with_module = query->let_in;
   if (may_refuse(*query)) {
     turn_away(id, Reason::kShutDown, longest_advice());
   } else {
-    fail_because(id, "the gateway shuts down");
+    fail_request(id, "the gateway shuts down");
   }
   if (with_module) module_->on_client_gone(now_, id, *this);
 }
 
-// --- An attempt's end -------------------------------------------------------------------------------------
-
-// Nothing of it is at its engine any more.
-void Reducer::conclude(QueryId id, std::size_t n, OutcomeKind kind) {
-  AttemptState& a = attempt_at(id, n);
-  a.phase = Phase::kOver;
-  a.ran = a.started && kind != OutcomeKind::kFull;
-  a.unsent = !a.started && never_sent(kind);
-  // Guards against pages of an attempt that was given up staying for as long as its query waits: a pool full
-  // of them stops all reading.
-  if (kind != OutcomeKind::kOk) a.rows.clear();
-  if (a.serial > 0) emit(CloseConnection{a.serial});
-  touched_.push_back(id);
-  finish(id, n, kind);
+// Ends an attempt of which its engine has nothing left.
+void Reducer::conclude(QueryId id, std::size_t attempt_index, OutcomeKind kind) {
+  AttemptState& attempt = attempt_at(id, attempt_index);
+  attempt.phase = Phase::kOver;
+  attempt.may_have_run = attempt.may_have_started && kind != OutcomeKind::kFull;
+  attempt.unsent = !attempt.may_have_started && never_sent(kind);
+  // Pages of an attempt that was given up would otherwise stay as long as its query waits, and a buffer pool
+  // full of them stops all reading.
+  if (kind != OutcomeKind::kOk) attempt.result_pages.clear();
+  if (attempt.adapter_id > 0) emit(CloseConnection{attempt.adapter_id});
+  queries_to_check_.push_back(id);
+  queue_outcome(id, attempt_index, kind);
 }
 
-void Reducer::finish(QueryId id, std::size_t n, OutcomeKind kind) {
-  AttemptState& a = attempt_at(id, n);
-  if (a.told) return;
-  a.told = true;
-  pending_.push_back({id, n, kind});
+void Reducer::queue_outcome(QueryId id, std::size_t attempt_index, OutcomeKind kind) {
+  AttemptState& attempt = attempt_at(id, attempt_index);
+  if (attempt.outcome_reported) return;
+  attempt.outcome_reported = true;
+  pending_outcomes_.push_back({id, attempt_index, kind});
 }
 
-// Outcomes are told after the event in which they arose: the module is never called from within itself.
-void Reducer::deliver_pending() {
-  while (!pending_.empty()) {
-    const PendingOutcome next = pending_.front();
-    pending_.pop_front();
-    deliver(next);
+// Outcomes are reported after the event in which they arose, so that the module is never called from within
+// one of its own calls.
+void Reducer::deliver_pending_outcomes() {
+  while (!pending_outcomes_.empty()) {
+    const PendingOutcome next = pending_outcomes_.front();
+    pending_outcomes_.pop_front();
+    deliver_outcome(next);
   }
 }
 
-void Reducer::deliver(const PendingOutcome& pending) {
+void Reducer::deliver_outcome(const PendingOutcome& pending) {
   QueryState& query = queries_.at(pending.query);
-  AttemptState& a = query.attempts[pending.attempt];
+  AttemptState& attempt = query.attempts[pending.attempt_index];
   ++counters_.outcomes[static_cast<std::size_t>(pending.kind)];
   Outcome outcome;
   outcome.query = pending.query;
-  outcome.attempt = static_cast<int>(pending.attempt);
-  outcome.engine = a.engine;
+  outcome.attempt = static_cast<int>(pending.attempt_index);
+  outcome.engine = attempt.engine;
   outcome.kind = pending.kind;
-  outcome.latency = now_ - a.sent_at;
+  outcome.latency = now_ - attempt.sent_at;
   outcome.ended = query.ended || pending.kind == OutcomeKind::kOk;
   if (pending.kind == OutcomeKind::kOk && settings_.tells_cost) {
-    outcome.told_cost = a.told_cost;
-    outcome.told_memory_mb = a.told_memory_mb;
+    outcome.told_cost = attempt.told_cost;
+    outcome.told_memory_mb = attempt.told_memory_mb;
   }
-  const ClassSettings& c = class_of(query);
-  const TimeUs expected = query.request.cost_estimate / c.threads;
-  if (pending.kind == OutcomeKind::kOk && expected > 0 && levels_.on() && !c.load)
-    levels_.meters()->attempt(now_, a.engine,
+  const ClassSettings& query_class = class_of(query);
+  const TimeUs expected = query.request.cost_estimate / query_class.threads;
+  if (pending.kind == OutcomeKind::kOk && expected > 0 && levels_.on() && !query_class.load)
+    levels_.meters()->attempt(now_, attempt.engine,
                               static_cast<double>(outcome.latency) / static_cast<double>(expected));
   if (pending.kind == OutcomeKind::kOk && !query.ended) {
-    const double aim = static_cast<double>(c.aim) + c.aim_stretch * static_cast<double>(expected);
-    note_answered(query, static_cast<double>(now_ - query.taken_at) > aim);
+    const double aim =
+        static_cast<double>(query_class.aim) + query_class.aim_stretch * static_cast<double>(expected);
+    record_answer(query, static_cast<double>(now_ - query.accepted_at) > aim);
     ++counters_.served;
-    if (trace_) trace_answered(pending.query, "served", query);
-    emit(AnswerServed{query.client, query.tag, std::move(a.rows)});
-    end(query);
+    if (trace_enabled_) trace_answered(pending.query, "served", query);
+    emit(AnswerServed{query.client, query.tag, std::move(attempt.result_pages)});
+    end_request(query);
   }
-  touched_.push_back(pending.query);
+  queries_to_check_.push_back(pending.query);
   limiter_.attempt_ended(now_, pending.query, pending.kind, outcome.latency, expected);
-  if (trace_) trace_ended(outcome, query);
+  if (trace_enabled_) trace_ended(outcome, query);
   module_->on_outcome(now_, outcome, *this);
 }
 
-// State dies with its query: once it is answered and no attempt of it is anywhere.
-void Reducer::forget_what_is_over() {
-  for (const QueryId id : touched_) {
+// Erases the state of queries that are answered and have no open attempt.
+void Reducer::erase_finished_queries() {
+  for (const QueryId id : queries_to_check_) {
     const auto it = queries_.find(id);
     if (it == queries_.end() || !it->second.ended) continue;
     const auto& attempts = it->second.attempts;
-    const bool over = std::all_of(attempts.begin(), attempts.end(),
-                                  [](const AttemptState& a) { return a.phase == Phase::kOver && a.told; });
+    const bool over = std::all_of(attempts.begin(), attempts.end(), [](const AttemptState& attempt) {
+      return attempt.phase == Phase::kOver && attempt.outcome_reported;
+    });
     if (!over) continue;
     limiter_.over(now_, id);
-    if (keys_) free_key(id, it->second);
-    held_bytes_ -= it->second.request.statement.size();
+    if (key_lookup_) free_key(id, it->second);
+    statement_bytes_ -= it->second.request.statement.size();
     references_.erase(it->second.request.reference);
     queries_.erase(it);
   }
-  touched_.clear();
+  queries_to_check_.clear();
 }
 
 }  // namespace orchidgw::core
--- a/src/core/reducer_levels.cpp
+++ b/src/core/reducer_levels.cpp
@@ -1,4 +1,5 @@
-// Reduced service levels in the reducer: signals, changes of level, and what they shed.
+// Reduced service levels in the reducer: sampling of their signals, level changes, and load shedding; also
+// clients that abort a request or disconnect.
 #include <algorithm>
 #include <sstream>
 #include <vector>
@@ -12,23 +13,24 @@
 
 }  // namespace
 
-service_level::ShedQuery Reducer::as_shed_sees(const QueryState& query) const {
-  const ClientRequest& r = query.request;
-  const bool keyed = !r.idempotency_key.empty();
-  return {r.class_name, r.tenant, keyed ? r.idempotency_key : r.statement, keyed && r.repeat};
+service_level::ShedQuery Reducer::to_shed_query(const QueryState& query) const {
+  const ClientRequest& request = query.request;
+  const bool keyed = !request.idempotency_key.empty();
+  return {request.class_name, request.tenant, keyed ? request.idempotency_key : request.statement,
+          keyed && request.repeat};
 }
 
 void Reducer::sample_signals(TimeUs due) {
-  sampling_ = levels_.on();
+  sample_timer_set_ = levels_.on();
   if (!levels_.on()) return;
-  set_timer_for(TimerKind::kSample, now_ + service_level::kSampleEvery, 0, 0);
+  schedule_timer(TimerKind::kLevelSample, now_ + service_level::kSampleEvery, 0, 0);
   service_level::Readings readings;
   readings.loop_lag = now_ - due;
   readings.buffers = buffers_used_;
   for (const auto& [id, query] : queries_) {
     if (query.ended || !query.attempts.empty()) continue;
     ++readings.line;
-    readings.line_age = std::max(readings.line_age, now_ - query.taken_at);
+    readings.line_age = std::max(readings.line_age, now_ - query.accepted_at);
   }
   bool moved = false;
   for (const service_level::Change& change : levels_.sample(now_, readings)) {
@@ -41,31 +43,32 @@
   }
   if (!moved) return;
   limiter_.set_scale(now_, levels_.limits_scale());
-  shed_those_held();
+  shed_unsent_queries();
 }
 
-// With a time to come back only where the settings let one be told.
+// The refusal carries a retry_after time only where the settings allow it.
 void Reducer::shed(QueryId id) {
-  turn_away(id, Reason::kShed, levels_.come_back_in(as_shed_sees(queries_.at(id)), longest_advice()));
+  turn_away(id, Reason::kShed, levels_.come_back_in(to_shed_query(queries_.at(id)), longest_advice()));
 }
 
-// A change of level meets those that wait, too: what is shed now is answered at once. None was sent anywhere.
-void Reducer::shed_those_held() {
-  std::vector<QueryId> held;
+// Applies a level change to waiting queries too: what the new level sheds is refused at once. None of these
+// queries has had an attempt.
+void Reducer::shed_unsent_queries() {
+  std::vector<QueryId> unsent_queries;
   for (const auto& [id, query] : queries_)
-    if (!query.ended && query.attempts.empty() && levels_.sheds(as_shed_sees(query)) != nullptr)
-      held.push_back(id);
-  std::sort(held.begin(), held.end());
-  for (const QueryId id : held) {
+    if (!query.ended && query.attempts.empty() && levels_.sheds(to_shed_query(query)) != nullptr)
+      unsent_queries.push_back(id);
+  std::sort(unsent_queries.begin(), unsent_queries.end());
+  for (const QueryId id : unsent_queries) {
     QueryState& query = queries_.at(id);
-    if (query.ended || !query.attempts.empty()) continue;  // sent meanwhile, in the place of one before
-    const bool with_module = query.let_in;
+    if (query.ended || !query.attempts.empty()) continue;  // sent meanwhile, as one shed before made room
+    const bool with_module = query.admitted;
     shed(id);
     if (with_module) module_->on_client_gone(now_, id, *this);
   }
 }
 
-void Reducer::tell_levels_of_engines() {
+void Reducer::update_level_engines() {
   std::vector<EngineId> listed;
   std::size_t in_service = 0;
   for (const auto& [id, listing] : engines_) {
@@ -75,36 +78,36 @@
   levels_.meters()->engines(listed, in_service);
 }
 
-void Reducer::note_answered(const QueryState& query, bool late) {
+void Reducer::record_answer(const QueryState& query, bool late) {
   if (levels_.on()) levels_.meters()->answered(now_, query.request.class_name, query.request.tenant, late);
 }
 
 void Reducer::on(RequestAborted& event) { leave({event.client, event.tag}); }
 
 void Reducer::on(ClientClosed& event) {
-  std::vector<OpenKey> keys;
-  const auto [first, last] = open_range(event.client);
+  std::vector<RequestKey> keys;
+  const auto [first, last] = open_request_range(event.client);
   for (auto it = first; it != last; ++it) keys.push_back(it->first);
-  for (const OpenKey& key : keys) leave(key);
+  for (const RequestKey& key : keys) leave(key);
 }
 
-// The client went away, or gave this request up: no answer is owed.
-void Reducer::leave(const OpenKey& key) {
-  const auto it = open_.find(key);
-  if (it == open_.end()) return;
+// Closes a request that its client aborted or left by disconnecting: no answer is owed.
+void Reducer::leave(const RequestKey& key) {
+  const auto it = open_requests_.find(key);
+  if (it == open_requests_.end()) return;
   const QueryId id = it->second;
   ++counters_.aborted;
   QueryState& query = queries_.at(id);
-  end(query);
-  touched_.push_back(id);
-  // Guards against an attempt that begins for nobody where running ones can't be cancelled.
-  for (const AttemptState& a : query.attempts) withdraw_unsent(a);
-  if (query.let_in) module_->on_client_gone(now_, id, *this);
+  end_request(query);
+  queries_to_check_.push_back(id);
+  // Where running attempts can't be cancelled, an attempt must not start for a client that has left.
+  for (const AttemptState& attempt : query.attempts) withdraw_unsent_start(attempt);
+  if (query.admitted) module_->on_client_gone(now_, id, *this);
 }
 
-void Reducer::end(QueryState& query) {
+void Reducer::end_request(QueryState& query) {
   query.ended = true;
-  open_.erase({query.client, query.tag});
+  open_requests_.erase({query.client, query.tag});
 }
 
 }  // namespace orchidgw::core
--- a/src/core/reducer_trace.cpp
+++ b/src/core/reducer_trace.cpp
@@ -1,4 +1,4 @@
-// The reducer's trace: for debugging a day, never at info.
+// The reducer's trace of queries and attempts, for debugging: written at debug level, never at info.
 #include <array>
 #include <sstream>
 
@@ -6,18 +6,19 @@
 
 namespace orchidgw::core {
 
-void Reducer::trace_taken(const Query& q, const QueryState& query) {
+void Reducer::trace_accepted(const Query& module_query, const QueryState& query) {
   std::ostringstream line;
-  line << "taken " << q.id << ' ' << query.request.reference << ' ' << query.request.class_name << " tenant "
-       << q.tenant << " group " << q.table_group << " cost_us " << q.cost_estimate << " memory_mb "
-       << q.memory_mb << " budget_us " << q.time_budget;
+  line << "taken " << module_query.id << ' ' << query.request.reference << ' ' << query.request.class_name
+       << " tenant " << module_query.tenant << " group " << module_query.table_group << " cost_us "
+       << module_query.cost_estimate << " memory_mb " << module_query.memory_mb << " budget_us "
+       << module_query.time_budget;
   emit(LogText{log::Level::kDebug, line.str()});
 }
 
-void Reducer::trace_sent(QueryId id, std::size_t n, const QueryState& query) {
+void Reducer::trace_sent(QueryId id, std::size_t attempt_index, const QueryState& query) {
   std::ostringstream line;
-  line << "sent " << id << '.' << n << " to " << query.attempts[n].engine << " grant_mb " << query.grant_mb
-       << " priority " << query.priority;
+  line << "sent " << id << '.' << attempt_index << " to " << query.attempts[attempt_index].engine
+       << " grant_mb " << query.grant_mb << " priority " << query.priority;
   emit(LogText{log::Level::kDebug, line.str()});
 }
 
@@ -32,7 +33,7 @@
 void Reducer::trace_call_ended(const CallOwner& owner, ConnectionEnd end) {
   constexpr std::array<const char*, 5> kKinds = {"start", "news", "page", "priority", "give_up"};
   std::ostringstream line;
-  line << kKinds[static_cast<std::size_t>(owner.kind)] << " of " << owner.query << '.' << owner.attempt
+  line << kKinds[static_cast<std::size_t>(owner.kind)] << " of " << owner.query << '.' << owner.attempt_index
        << " got no whole answer: " << name_of(end);
   emit(LogText{log::Level::kDebug, line.str()});
 }
