--- a/src/core/reducer.cpp
+++ b/src/core/reducer.cpp
@@ -176,7 +176,7 @@
     case KeyVerdict::kNew:
       return true;
     case KeyVerdict::kMayHaveRun:
-      fail_request(id, "it may have run before this controller started");
+      fail_request(id, "it may have run before this controller's start");
       return false;
     case KeyVerdict::kNoRoom:
       turn_away(id, Reason::kNoIntent, longest_advice());
@@ -195,7 +195,7 @@
   const bool may_have_run = std::any_of(attempts.begin(), attempts.end(),
                                         [](const AttemptState& attempt) { return attempt.may_have_run; });
   if (end == ConnectionEnd::kKeyRests) {
-    fail_request(id, "another controller may have run it");
+    fail_request(id, "it may have run by another controller");
   } else if (may_have_run) {
     fail_request(id, "another attempt may have run");
   } else {
--- a/src/core/reducer_attempts.cpp
+++ b/src/core/reducer_attempts.cpp
@@ -230,7 +230,7 @@
   if (query == nullptr || query->ended) return;
   ++counters_.answers_overdue;
   const bool with_module = query->let_in;
-  fail_request(id, "its deadline has passed");
+  fail_request(id, "its time is over");
   if (with_module) module_->on_client_gone(now_, id, *this);
 }
 
