--- a/src/core/reducer.cpp
+++ b/src/core/reducer.cpp
@@ -53,8 +53,8 @@
 }
 
 // Withdraws starts whose first byte is not sent yet from engines that are draining or gone. Such a start was
-// chosen before the drain was announced and may still be waiting for a slow connection, a descriptor or a key
-// reservation; without this it would reach the engine long after the announcement.
+// chosen before the drain was announced and may still be waiting for a slow connection, a descriptor or the
+// hold on its key; without this it would reach the engine long after the announcement.
 void Reducer::withdraw_from_leaving_engines() {
   for (auto& [id, query] : queries_) {
     for (const AttemptState& attempt : query.attempts) {
@@ -94,9 +94,9 @@
   accept_request(event, known->second);
 }
 
-// Rejects requests that no engine can run: an engine answers them with an error, which would be counted
-// against the engine. Also rejects a second open query under the same reference, since giving up one of the
-// two would end the other at the engine.
+// Finds requests that no engine can run: an engine answers them with an error, which says nothing about the
+// engine but would count against it. Also finds a second open query under the same reference, since giving up
+// one of the two would end the other at the engine.
 std::string Reducer::validation_error(const ClientRequest& request, const ClassSettings& query_class) const {
   const auto same_name = [&](const TenantSettings& t) { return t.name == request.tenant; };
   if (!settings_.tenants.empty() &&
@@ -205,8 +205,8 @@
 }
 
 // Frees the key of a query of which no attempt ran. Otherwise a client that was refused here would be refused
-// by other controllers too, because of a key that is reserved for nothing.
-void Reducer::free_key(QueryId id, const QueryState& query) {
+// by other controllers too, because of a key that is held for nothing.
+void Reducer::release_key(QueryId id, const QueryState& query) {
   const std::string identity = identity_of(query);
   bool sent = false;
   for (const AttemptState& attempt : query.attempts) {
@@ -344,11 +344,11 @@
   attempt.address = it->second.address;
   schedule_timer(TimerKind::kAttemptStop, attempt.stop_at, id, attempt_index);
   if (trace_enabled_) trace_sent(id, attempt_index, *query);
-  start_call(id, attempt_index, CallKind::kStart);
+  send_call(id, attempt_index, CallKind::kStart);
 }
 
 EarlierAttempt Reducer::to_earlier_attempt(const AttemptState& attempt) {
-  const bool out = attempt.phase != Phase::kOver;
+  const bool out = attempt.phase != Phase::kConcluded;
   return {attempt.sent_at, out, out || attempt.may_have_run, attempt.zone, attempt.cell, attempt.unsent};
 }
 
@@ -365,7 +365,7 @@
 }
 
 // Checks again at the first byte, because a start may have become forbidden since it was chosen: it can wait
-// for a slow connection, a descriptor, a key reservation or a stored intent, or for this process to be
+// for a slow connection, a descriptor, the hold on its key or a stored intent, or for this process to be
 // scheduled again.
 Denial Reducer::start_denied(TimeUs now, CallId call) {
   const auto owner = calls_.find(call);
@@ -441,7 +441,7 @@
   query->grant_mb = level.grants < 1 ? std::floor(grant_mb * level.grants) : grant_mb;
   for (std::size_t attempt_index = 0; changed && attempt_index < query->attempts.size(); ++attempt_index) {
     if (query->attempts[attempt_index].phase == Phase::kRunning)
-      start_call(id, attempt_index, CallKind::kPriority);
+      send_call(id, attempt_index, CallKind::kPriority);
   }
 }
 
--- a/src/core/reducer.h
+++ b/src/core/reducer.h
@@ -47,7 +47,7 @@
   void set_trace(bool on) { trace_enabled_ = on; }
 
   // Looks up whether a query that must not run twice may be accepted; called before each such query is
-  // accepted. Without a lookup no such check is made, and starts carry no identity to be stored or reserved.
+  // accepted. Without a lookup no such check is made, and starts carry no identity to be stored or held.
   using KeyLookup = std::function<KeyVerdict(const std::string& identity)>;
   void set_keys(KeyLookup lookup) { key_lookup_ = std::move(lookup); }
 
@@ -78,8 +78,8 @@
 
  private:
   // kPaging: the query has succeeded and its result pages are fetched. kGivingUp: the engine is being told to
-  // stop, or has yet to drop the query. kOver: the engine has nothing left of the attempt.
-  enum class Phase { kRunning, kPaging, kGivingUp, kOver };
+  // stop, or has yet to drop the query. kConcluded: the engine has nothing left of the attempt.
+  enum class Phase { kRunning, kPaging, kGivingUp, kConcluded };
 
   struct AttemptState {
     EngineId engine;
@@ -174,10 +174,10 @@
   }
   // Returns false if the query may have run before or its intent can't be stored; it has its answer then.
   bool passes_key_check(QueryId id);
-  // What a query that must not run twice is stored and reserved under; empty if it may run twice.
+  // The key under which a query that must not run twice is recorded; empty if it may run twice.
   std::string identity_of(const QueryState& query) const;
   void handle_blocked_start(QueryId id, std::size_t attempt_index, ConnectionEnd end);
-  void free_key(QueryId id, const QueryState& query);
+  void release_key(QueryId id, const QueryState& query);
   // Fails the request with `why` as the text for the client. Does nothing for a request that has its answer.
   void fail_request(QueryId id, const std::string& why);
   void release_waiting_queries();
@@ -215,7 +215,7 @@
   static EarlierAttempt to_earlier_attempt(const AttemptState& attempt);
   // Counts and logs an action that was asked for but is not allowed: a fault of the program.
   void record_violation(Denial denial, const QueryState& query);
-  void start_call(QueryId id, std::size_t attempt_index, CallKind kind);
+  void send_call(QueryId id, std::size_t attempt_index, CallKind kind);
   std::optional<CallOwner> release_call(CallId call);
 
   // An attempt's end and its outcome for the module.
--- a/src/core/reducer_attempts.cpp
+++ b/src/core/reducer_attempts.cpp
@@ -7,44 +7,44 @@
 
 namespace orchidgw::core {
 
-// Starts a call to the attempt's engine. An attempt has one call at a time, apart from priority changes.
-void Reducer::start_call(QueryId id, std::size_t attempt_index, CallKind kind) {
+// Sends a call to the attempt's engine. An attempt has one call at a time, apart from priority changes.
+void Reducer::send_call(QueryId id, std::size_t attempt_index, CallKind kind) {
   const QueryState& query = queries_.at(id);
   AttemptState& attempt = attempt_at(id, attempt_index);
-  StartCall start;
-  start.call = ++last_call_;
-  start.attempt = attempt.adapter_id;
-  start.kind = kind;
-  start.engine = attempt.engine;
-  start.address = attempt.address;
-  start.reference = query.request.reference;
+  StartCall effect;
+  effect.call = ++last_call_;
+  effect.attempt = attempt.adapter_id;
+  effect.kind = kind;
+  effect.engine = attempt.engine;
+  effect.address = attempt.address;
+  effect.reference = query.request.reference;
   const bool may_be_held = kind == CallKind::kStart || kind == CallKind::kNews;
-  start.answer_by = now_ + bounds_.answer_grace + (may_be_held ? bounds_.poll_hold : 0);
-  start.priority = query.priority;
+  effect.answer_by = now_ + bounds_.answer_grace + (may_be_held ? bounds_.poll_hold : 0);
+  effect.priority = query.priority;
   // A duplicate of the previous answer can arrive some milliseconds late on the attempt's connection. Read as
   // the answer to this call, it would end the attempt while the engine still runs the query.
   if (kind == CallKind::kGiveUp && attempt.adapter_id > 0) emit(CloseConnection{attempt.adapter_id});
-  if (kind == CallKind::kPage) start.page = static_cast<int>(attempt.result_pages.size());
+  if (kind == CallKind::kPage) effect.page = static_cast<int>(attempt.result_pages.size());
   if (kind == CallKind::kStart) {
-    start.class_name = query.request.class_name;
-    start.idempotency_key = query.request.idempotency_key;
-    start.statement = query.request.statement;
-    start.grant_mb = query.grant_mb;
+    effect.class_name = query.request.class_name;
+    effect.idempotency_key = query.request.idempotency_key;
+    effect.statement = query.request.statement;
+    effect.grant_mb = query.grant_mb;
     if (key_lookup_) {
       const ClassSettings& query_class = class_of(query);
-      start.query = id;
-      start.identity = identity_of(query);
-      start.rest = rest_of(query_class);
+      effect.query = id;
+      effect.identity = identity_of(query);
+      effect.rest = rest_of(query_class);
     }
-    start.stop_at = attempt.stop_at;
+    effect.stop_at = attempt.stop_at;
   }
   if (kind != CallKind::kPriority) {
-    attempt.open_call = start.call;
+    attempt.open_call = effect.call;
     attempt.call_kind = kind;
   }
-  calls_[start.call] = {id, attempt_index, kind};
+  calls_[effect.call] = {id, attempt_index, kind};
   ++counters_.calls;
-  emit(std::move(start));
+  emit(std::move(effect));
 }
 
 // Removes a call that is over. Returns its owner if an attempt still waits for it; a dropped call may outlive
@@ -74,7 +74,7 @@
   AttemptState& attempt = attempt_at(owner->query, owner->attempt_index);
   attempt.may_have_started = attempt.may_have_started || may_have_arrived(event.end);
   if (trace_enabled_) trace_call_ended(*owner, event.end);
-  if (attempt.phase == Phase::kOver) return;
+  if (attempt.phase == Phase::kConcluded) return;
   if (event.end == ConnectionEnd::kKeyRests || event.end == ConnectionEnd::kNoIntent)
     return handle_blocked_start(owner->query, owner->attempt_index, event.end);
   if (attempt.phase != Phase::kGivingUp)
@@ -86,7 +86,7 @@
 
 void Reducer::handle_answer(QueryId id, std::size_t attempt_index, CallAnswer& answer) {
   AttemptState& attempt = attempt_at(id, attempt_index);
-  if (attempt.phase == Phase::kOver) return;
+  if (attempt.phase == Phase::kConcluded) return;
   attempt.last_answer_at = now_;
   if (attempt.call_kind == CallKind::kGiveUp) {  // any answer means that the engine got the call
     return conclude(id, attempt_index, attempt.give_up_outcome);
@@ -95,8 +95,8 @@
   switch (answer.kind) {
     case CallAnswer::Kind::kNotYet:
       attempt.broken_calls = 0;
-      if (attempt.phase == Phase::kGivingUp) return start_call(id, attempt_index, CallKind::kGiveUp);
-      return start_call(id, attempt_index, CallKind::kNews);
+      if (attempt.phase == Phase::kGivingUp) return send_call(id, attempt_index, CallKind::kGiveUp);
+      return send_call(id, attempt_index, CallKind::kNews);
     case CallAnswer::Kind::kServed:
       return handle_result(id, attempt_index, answer);
     case CallAnswer::Kind::kFull:
@@ -141,7 +141,7 @@
   if (bytes > bounds_.max_result_bytes) {
     return conclude(id, attempt_index, OutcomeKind::kError);
   }
-  if (!whole && !queries_.at(id).ended) return start_call(id, attempt_index, CallKind::kPage);
+  if (!whole && !queries_.at(id).ended) return send_call(id, attempt_index, CallKind::kPage);
   conclude(id, attempt_index, OutcomeKind::kOk);
 }
 
@@ -169,14 +169,14 @@
   if (attempt.broken_calls >= bounds_.max_broken_calls) return give_up(id, attempt_index, fallback_outcome);
   ++attempt.broken_calls;
   ++counters_.asked_again;
-  start_call(id, attempt_index, kind);
+  send_call(id, attempt_index, kind);
 }
 
 // An attempt that is given up stays open until its engine has confirmed it or has dropped the query by
 // itself, so that no second attempt runs beside it. Its outcome is reported then, or at the query's deadline.
 void Reducer::give_up(QueryId id, std::size_t attempt_index, OutcomeKind as) {
   AttemptState& attempt = attempt_at(id, attempt_index);
-  if (attempt.phase == Phase::kGivingUp || attempt.phase == Phase::kOver) return;
+  if (attempt.phase == Phase::kGivingUp || attempt.phase == Phase::kConcluded) return;
   attempt.give_up_outcome = as;
   const bool paging = attempt.phase == Phase::kPaging;  // the engine has finished the query
   if (attempt.open_call != 0) emit(DropCall{attempt.open_call});
@@ -188,14 +188,14 @@
   if (now_ >= queries_.at(id).deadline) queue_outcome(id, attempt_index, as);
   schedule_timer(TimerKind::kEngineRetention, now_ + bounds_.engine_retention + bounds_.poll_hold, id,
                  attempt_index);
-  if (attempt.open_call == 0) start_call(id, attempt_index, CallKind::kGiveUp);
+  if (attempt.open_call == 0) send_call(id, attempt_index, CallKind::kGiveUp);
 }
 
 // The dropped call has ended. The engine is told to stop, unless it cannot have the query.
 void Reducer::handle_dropped_call_end(QueryId id, std::size_t attempt_index, ConnectionEnd end) {
   AttemptState& attempt = attempt_at(id, attempt_index);
   if (attempt.may_have_started && end != ConnectionEnd::kRefused)
-    return start_call(id, attempt_index, CallKind::kGiveUp);
+    return send_call(id, attempt_index, CallKind::kGiveUp);
   conclude(id, attempt_index, attempt.give_up_outcome);
 }
 
@@ -211,7 +211,7 @@
 
 void Reducer::handle_stop_timer(QueryId id, std::size_t attempt_index) {
   AttemptState& attempt = attempt_at(id, attempt_index);
-  if (attempt.phase == Phase::kOver) return;
+  if (attempt.phase == Phase::kConcluded) return;
   if (attempt.phase != Phase::kGivingUp) return give_up(id, attempt_index, OutcomeKind::kTimeout);
   if (now_ >= queries_.at(id).deadline) queue_outcome(id, attempt_index, attempt.give_up_outcome);
 }
@@ -250,7 +250,7 @@
 // Ends an attempt of which its engine has nothing left.
 void Reducer::conclude(QueryId id, std::size_t attempt_index, OutcomeKind kind) {
   AttemptState& attempt = attempt_at(id, attempt_index);
-  attempt.phase = Phase::kOver;
+  attempt.phase = Phase::kConcluded;
   attempt.may_have_run = attempt.may_have_started && kind != OutcomeKind::kFull;
   attempt.unsent = !attempt.may_have_started && never_sent(kind);
   // Pages of an attempt that was given up would otherwise stay as long as its query waits, and a buffer pool
@@ -320,11 +320,11 @@
     if (it == queries_.end() || !it->second.ended) continue;
     const auto& attempts = it->second.attempts;
     const bool over = std::all_of(attempts.begin(), attempts.end(), [](const AttemptState& attempt) {
-      return attempt.phase == Phase::kOver && attempt.outcome_reported;
+      return attempt.phase == Phase::kConcluded && attempt.outcome_reported;
     });
     if (!over) continue;
     limiter_.over(now_, id);
-    if (key_lookup_) free_key(id, it->second);
+    if (key_lookup_) release_key(id, it->second);
     statement_bytes_ -= it->second.request.statement.size();
     references_.erase(it->second.request.reference);
     queries_.erase(it);
