--- a/src/core/reducer.cpp
+++ b/src/core/reducer.cpp
@@ -348,8 +348,9 @@
 }
 
 EarlierAttempt Reducer::to_earlier_attempt(const AttemptState& attempt) {
-  const bool out = attempt.phase != Phase::kConcluded;
-  return {attempt.sent_at, out, out || attempt.may_have_run, attempt.zone, attempt.cell, attempt.unsent};
+  const bool in_flight = attempt.phase != Phase::kConcluded;
+  return {attempt.sent_at, in_flight,    in_flight || attempt.may_have_run,
+          attempt.zone,    attempt.cell, attempt.unsent};
 }
 
 // Checks the attempt at `attempt_index`; all other attempts of its query count as earlier ones.
--- a/src/core/reducer.h
+++ b/src/core/reducer.h
@@ -33,7 +33,7 @@
   TimeUs engine_retention = 2'000'000;  // an engine drops a query that was not polled for this long
   TimeUs answer_grace = 100'000;        // a call without an answer this long after its hold counts as silent
   TimeUs final_answer_grace = 20'000;  // a query without a final answer this long past its deadline is failed
-  int max_broken_calls = 8;            // an attempt is given up after this many broken calls in a row
+  int max_failed_calls = 8;            // an attempt is given up after this many failed calls in a row
   std::size_t max_result_bytes = 48'000;  // all pages of one result together
   std::size_t max_open_requests_per_client = 32;
 };
@@ -95,7 +95,7 @@
     bool outcome_reported = false;          // the module has its outcome, or will get it after this event
     AttemptId adapter_id = 0;               // the adapters' id of the attempt; 0: it was never sent
     TimeUs last_answer_at = 0;  // when the last complete answer came; before that, when it was sent
-    int broken_calls = 0;       // in a row
+    int failed_calls = 0;       // in a row
     int page_count = 0;         // of the result, once it is known
     std::vector<PayloadPtr> result_pages;  // those received so far, in order
     std::optional<TimeUs> told_cost;       // as the engine reported them
@@ -199,11 +199,11 @@
   void handle_page(QueryId id, std::size_t attempt_index, CallAnswer& answer);
   // Fetches the next result page, or concludes the attempt if it was the last one or the result is too large.
   void continue_paging(QueryId id, std::size_t attempt_index);
-  void handle_broken_call(QueryId id, std::size_t attempt_index, ConnectionEnd end);
+  void handle_failed_call(QueryId id, std::size_t attempt_index, ConnectionEnd end);
   void retry_call(QueryId id, std::size_t attempt_index, CallKind kind, OutcomeKind fallback_outcome);
   void give_up(QueryId id, std::size_t attempt_index, OutcomeKind as);
   void handle_dropped_call_end(QueryId id, std::size_t attempt_index, ConnectionEnd end);
-  void handle_broken_give_up(QueryId id, std::size_t attempt_index, ConnectionEnd end);
+  void handle_failed_cancel(QueryId id, std::size_t attempt_index, ConnectionEnd end);
   void handle_stop_timer(QueryId id, std::size_t attempt_index);
   // Concludes an attempt that is being given up: by now its engine has dropped the query by itself.
   void handle_retention_timer(QueryId id, std::size_t attempt_index);
--- a/src/core/reducer_attempts.cpp
+++ b/src/core/reducer_attempts.cpp
@@ -78,9 +78,9 @@
   if (event.end == ConnectionEnd::kKeyRests || event.end == ConnectionEnd::kNoIntent)
     return handle_blocked_start(owner->query, owner->attempt_index, event.end);
   if (attempt.phase != Phase::kGivingUp)
-    return handle_broken_call(owner->query, owner->attempt_index, event.end);
+    return handle_failed_call(owner->query, owner->attempt_index, event.end);
   if (attempt.call_kind == CallKind::kGiveUp)
-    return handle_broken_give_up(owner->query, owner->attempt_index, event.end);
+    return handle_failed_cancel(owner->query, owner->attempt_index, event.end);
   handle_dropped_call_end(owner->query, owner->attempt_index, event.end);
 }
 
@@ -94,7 +94,7 @@
   if (attempt.call_kind == CallKind::kPage) return handle_page(id, attempt_index, answer);
   switch (answer.kind) {
     case CallAnswer::Kind::kNotYet:
-      attempt.broken_calls = 0;
+      attempt.failed_calls = 0;
       if (attempt.phase == Phase::kGivingUp) return send_call(id, attempt_index, CallKind::kGiveUp);
       return send_call(id, attempt_index, CallKind::kNews);
     case CallAnswer::Kind::kServed:
@@ -115,7 +115,7 @@
   attempt.told_memory_mb = answer.told_memory_mb;
   attempt.page_count = answer.pages;
   attempt.phase = Phase::kPaging;
-  attempt.broken_calls = 0;
+  attempt.failed_calls = 0;
   attempt.result_pages.push_back(std::move(answer.rows));
   continue_paging(id, attempt_index);
 }
@@ -128,7 +128,7 @@
     emit(CloseConnection{attempt.adapter_id});
     return retry_call(id, attempt_index, CallKind::kPage, OutcomeKind::kError);
   }
-  attempt.broken_calls = 0;
+  attempt.failed_calls = 0;
   attempt.result_pages.push_back(std::move(answer.rows));
   continue_paging(id, attempt_index);
 }
@@ -147,9 +147,9 @@
 
 // Handles a call that ended without a usable answer. A query is not tied to a connection, and an engine
 // repeats the answer and its pages after a query has succeeded. So the call is retried on another connection,
-// as long as the engine can still have the query and few calls in a row broke. This saves queries that ran
+// as long as the engine can still have the query and few calls in a row failed. This saves queries that ran
 // but whose answer was corrupted, truncated or lost.
-void Reducer::handle_broken_call(QueryId id, std::size_t attempt_index, ConnectionEnd end) {
+void Reducer::handle_failed_call(QueryId id, std::size_t attempt_index, ConnectionEnd end) {
   AttemptState& attempt = attempt_at(id, attempt_index);
   const OutcomeKind outcome = outcome_of(end, attempt.may_have_started);
   if (!attempt.may_have_started || end == ConnectionEnd::kRefused) {
@@ -162,12 +162,12 @@
   retry_call(id, attempt_index, attempt.phase == Phase::kPaging ? CallKind::kPage : CallKind::kNews, outcome);
 }
 
-// Gives the attempt up once too many calls in a row broke. For an attempt that is already being given up no
+// Gives the attempt up once too many calls in a row failed. For an attempt that is already being given up no
 // further call is made: it ends with the timer at which its engine has dropped the query.
 void Reducer::retry_call(QueryId id, std::size_t attempt_index, CallKind kind, OutcomeKind fallback_outcome) {
   AttemptState& attempt = attempt_at(id, attempt_index);
-  if (attempt.broken_calls >= bounds_.max_broken_calls) return give_up(id, attempt_index, fallback_outcome);
-  ++attempt.broken_calls;
+  if (attempt.failed_calls >= bounds_.max_failed_calls) return give_up(id, attempt_index, fallback_outcome);
+  ++attempt.failed_calls;
   ++counters_.asked_again;
   send_call(id, attempt_index, kind);
 }
@@ -184,7 +184,7 @@
     return conclude(id, attempt_index, as);
   }
   attempt.phase = Phase::kGivingUp;
-  attempt.broken_calls = 0;
+  attempt.failed_calls = 0;
   if (now_ >= queries_.at(id).deadline) queue_outcome(id, attempt_index, as);
   schedule_timer(TimerKind::kEngineRetention, now_ + bounds_.engine_retention + bounds_.poll_hold, id,
                  attempt_index);
@@ -200,7 +200,7 @@
 }
 
 // An answer that began, readable or not, shows that the engine got the whole call.
-void Reducer::handle_broken_give_up(QueryId id, std::size_t attempt_index, ConnectionEnd end) {
+void Reducer::handle_failed_cancel(QueryId id, std::size_t attempt_index, ConnectionEnd end) {
   AttemptState& attempt = attempt_at(id, attempt_index);
   const bool answer_began = end == ConnectionEnd::kUnreadable || end == ConnectionEnd::kClosedMidAnswer ||
                             end == ConnectionEnd::kResetMidAnswer;
--- a/src/core/reducer_levels.cpp
+++ b/src/core/reducer_levels.cpp
@@ -91,7 +91,7 @@
   for (const RequestKey& key : keys) leave(key);
 }
 
-// Closes a request that its client aborted or left by disconnecting: no answer is owed.
+// Closes a request that its client aborted, or whose client disconnected: no answer is owed.
 void Reducer::leave(const RequestKey& key) {
   const auto it = open_requests_.find(key);
   if (it == open_requests_.end()) return;
@@ -100,7 +100,7 @@
   QueryState& query = queries_.at(id);
   end_request(query);
   queries_to_check_.push_back(id);
-  // Where running attempts can't be cancelled, an attempt must not start for a client that has left.
+  // Where running attempts can't be cancelled, an attempt must not start for a client that no longer waits.
   for (const AttemptState& attempt : query.attempts) withdraw_unsent_start(attempt);
   if (query.admitted) module_->on_client_gone(now_, id, *this);
 }
