--- a/src/core/reducer.h
+++ b/src/core/reducer.h
@@ -64,7 +64,7 @@
   const service_level::ServiceLevel& levels() const { return levels_; }
   // Share of the buffer pool in use, 0 to 1: a signal for the service levels.
   void set_buffers_used(double share) { buffers_used_ = share; }
-  // Whether the engine list has been received; until then all requests are failed as "not ready".
+  // Whether the engine list has been received; until then valid requests are failed as "not ready".
   bool ready() const { return engine_list_known_; }
   // Number of requests without a final answer; a query may outlive its request.
   std::size_t open_requests() const { return open_requests_.size(); }
