--- a/src/core/reducer_attempts.cpp
+++ b/src/core/reducer_attempts.cpp
@@ -229,7 +229,7 @@
   const QueryState* query = find_query(id);
   if (query == nullptr || query->ended) return;
   ++counters_.answers_overdue;
-  const bool with_module = query->let_in;
+  const bool with_module = query->admitted;
   fail_request(id, "its time is over");
   if (with_module) module_->on_client_gone(now_, id, *this);
 }
@@ -238,7 +238,7 @@
 void Reducer::answer_for_shutdown(QueryId id) {
   const QueryState* query = find_query(id);
   if (query == nullptr || query->ended) return;
-  const bool with_module = query->let_in;
+  const bool with_module = query->admitted;
   if (may_refuse(*query)) {
     turn_away(id, Reason::kShutDown, longest_advice());
   } else {
