--- a/src/net/change_log.h
+++ b/src/net/change_log.h
@@ -18,7 +18,7 @@
 
 namespace orchidgw::net {
 
-struct ChangeLogLimits {
+struct ChangeLogOptions {
   std::size_t answer_bytes = 0;  // of one answer
   TimeUs connect_timeout = 0;
   Rules rules;             // drain grace: after the log has a drain, nothing new may go to that engine
@@ -29,13 +29,13 @@
  public:
   // `known`: the events of the start, which are told to the core at once.
   ChangeLog(Context& context, core::Address address, const config::FleetChanges& known,
-            ChangeLogLimits limits);
+            ChangeLogOptions options);
 
   void check(TimeUs now);  // time limits, the next try
   TimeUs next_due() const { return due_ + context_.lost; }
   // The log has moved: asked there from now on, with the numbering that it has. `known`: what is told with
   // it.
-  void move_to(core::Address address, const config::FleetChanges& known);
+  void change_address(core::Address address, const config::FleetChanges& known);
   void close() { end(core::ConnectionEnd::kShutDown); }
 
   void on_readable() override;
@@ -44,34 +44,34 @@
   void on_failure(const char* what) override;
 
  private:
-  enum class State { kClosed, kConnecting, kAsking };
+  enum class State { kClosed, kConnecting, kAwaitingAnswer };
   void connect(TimeUs now);
-  void ask(TimeUs now);
+  void send_watch_request(TimeUs now);
   void flush();
   bool read_bytes(std::string_view bytes);
-  bool answer_is_whole();
-  bool went_back(const config::FleetChanges& changes);
-  void tell(const config::FleetChanges& changes, bool start);
-  void set_starts(std::vector<core::EngineListing>& engines, bool whole_list);
+  bool on_complete_answer();
+  bool detect_log_reset(const config::FleetChanges& changes);
+  void post_changes(const config::FleetChanges& changes, bool is_initial_list);
+  void set_start_times(std::vector<core::EngineListing>& engines, bool full_list);
   void end(core::ConnectionEnd end);
-  TimeUs backoff();
+  TimeUs next_backoff();
   void set_due(TimeUs at) { due_ = at - context_.lost; }
 
   Context& context_;
   core::Address address_;
   TimeUs connect_timeout_;
-  TimeUs hold_;          // the log answers a question after so long, news or not
+  TimeUs poll_timeout_;  // the log answers a question after so long, news or not
   TimeUs answer_grace_;  // an answer so long past its hold doesn't come any more: the watch is silent
-  TimeUs backoff_most_;
+  TimeUs max_backoff_;
   TimeUs behind_since_ = 0;  // its answers end before what is known; 0: they don't
-  TimeUs backoff_ = 0;       // the last one, before its jitter; 0: the last question was answered
-  std::minstd_rand jitter_;
+  TimeUs last_backoff_ = 0;  // the last one, before its jitter; 0: the last question was answered
+  std::minstd_rand jitter_random_;
   EngineStarts starts_;
-  std::uint64_t last_ = 0;
+  std::uint64_t last_number_ = 0;
   State state_ = State::kClosed;
   std::unique_ptr<Channel> channel_;
   http::ResponseParser parser_;
-  BufferChain out_;
+  BufferChain unsent_;
   BufferChain body_;
   TimeUs due_ = 0;  // without the time that this process lost, as on connections to engines
 };
--- a/src/net/controller.h
+++ b/src/net/controller.h
@@ -56,42 +56,42 @@
   Controller(const config::ControllerConfig& config, std::size_t fleet_descriptors, Descriptor listener,
              log::Logger& log, Reload reload);
   TimeUs turn();
-  TimeUs read_first();
+  TimeUs defer_turn();
   void post(core::Event event);
-  bool crowded() const;
-  void watch_wall_clock(TimeUs now);
-  void act(TimeUs now);
-  void act_on_news(TimeUs now);
-  void act_on(TimeUs now, PostedEvent posted);
+  bool low_on_memory() const;
+  void check_wall_clock(TimeUs now);
+  void process_events(TimeUs now);
+  void process_non_requests(TimeUs now);
+  void process_event(TimeUs now, PostedEvent posted);
   void apply(TimeUs now, core::Event event);
   void run_effect(core::SideEffect& effect);
   void on_signal(int signal);
   void reload();
-  std::string answer_admin(const std::string& line);
-  void put_in_force(const configuration::Configuration& fresh);
-  void put_limits_in_force(std::shared_ptr<const limits::LimitSet> set,
-                           std::shared_ptr<const service_level::LevelFile> levels);
-  TimeUs signal_sent_at() const;
+  std::string run_admin_command(const std::string& line);
+  void apply_configuration(const configuration::Configuration& loaded);
+  void apply_limits(std::shared_ptr<const limits::LimitSet> set,
+                    std::shared_ptr<const service_level::LevelFile> levels);
+  TimeUs earliest_signal_time() const;
   void begin_shutdown();
   void stop_if_done(TimeUs now);
-  TimeUs next_of_shutdown(TimeUs now) const;
-  void follow_fleet();
-  core::KeyVerdict verdict(const std::string& identity) const;
-  void send_promised(core::StartCall call);
-  bool drop_held(core::CallId call, core::ConnectionEnd as);
+  TimeUs next_shutdown_step(TimeUs now) const;
+  void apply_fleet_shares();
+  core::KeyVerdict key_status(const std::string& identity) const;
+  void send_after_intent(core::StartCall call);
+  bool drop_waiting_call(core::CallId call, core::ConnectionEnd end);
   Promises* promises() const { return fleet_ ? fleet_->promises() : nullptr; }
-  void note_demand(const core::RequestArrived& request);
+  void record_demand(const core::RequestArrived& request);
   void count_descriptors();
   void print_counters();
-  TimeUs wait_from(TimeUs now) const;
+  TimeUs time_to_wait(TimeUs now) const;
 
   log::Logger& log_;
   Reload reload_;
   Settings settings_;
   metrics::Counters counters_;
-  std::size_t buffers_most_;
+  std::size_t max_buffers_;
   BufferPool pool_;
-  std::size_t statement_bytes_most_;
+  std::size_t max_statement_bytes_;
   Reactor reactor_;
   Context context_;
   Attention attention_;
@@ -107,7 +107,7 @@
   std::unique_ptr<Intents> intents_;    // null: none are kept
   WallClockWatch wall_clock_;
   std::optional<TimeUs>
-      reload_again_at_;  // a file could not be read for want of something that may come back
+      reload_retry_at_;  // a file could not be read for want of something that may come back
   TimeUs created_at_;
   std::optional<ShutdownSchedule> shutdown_;  // once it was asked for
   bool listening_ = true;
--- a/src/net/engine_client.cpp
+++ b/src/net/engine_client.cpp
@@ -12,83 +12,86 @@
 using core::CallKind;
 using core::ConnectionEnd;
 
-constexpr std::size_t kKeptForRunning = 8;  // one part in so many is not for new sends
+constexpr std::size_t kReservedDivisor = 8;  // one part in so many is not for new sends
 
 }  // namespace
 
 EngineClient::EngineClient(Context& context, EngineClientLimits limits)
     : context_(context), limits_(limits) {}
 
-EngineClient::Line EngineClient::line_of(CallKind kind) {
+EngineClient::Queue EngineClient::queue_of(CallKind kind) {
   switch (kind) {
     case CallKind::kGiveUp:
     case CallKind::kPriority:
-      return kGiveUps;
+      return kControl;
     case CallKind::kNews:
     case CallKind::kPage:
-      return kNews;
+      return kReads;
     case CallKind::kStart:
       return kStarts;
   }
   return kStarts;
 }
 
-void EngineClient::start(core::StartCall call) {
-  const Line line = line_of(call.kind);
-  if (waiting_[line].empty() && place(call)) return;
-  const TimeUs until = monotonic_now() + limits_.connect_timeout;
-  waiting_[line].push_back({std::move(call), until});
-  count_waiting();
+void EngineClient::send(core::StartCall call) {
+  const Queue queue = queue_of(call.kind);
+  if (waiting_[queue].empty() && try_send(call)) return;
+  const TimeUs deadline = monotonic_now() + limits_.connect_timeout;
+  waiting_[queue].push_back({std::move(call), deadline});
+  update_waiting_count();
 }
 
-bool EngineClient::place(core::StartCall& call) { return reuse(call) || connect(call); }
+bool EngineClient::try_send(core::StartCall& call) {
+  return send_on_idle_connection(call) || send_on_new_connection(call);
+}
 
-bool EngineClient::reuse(core::StartCall& call) {
-  const auto it = idle_.find(call.attempt);
-  if (it == idle_.end()) return false;
+bool EngineClient::send_on_idle_connection(core::StartCall& call) {
+  const auto it = idle_connections_.find(call.attempt);
+  if (it == idle_connections_.end()) return false;
   const ConnectionId id = it->second;
-  idle_.erase(it);
+  idle_connections_.erase(it);
   const std::shared_ptr<EngineConnection> connection = connections_.at(id);
-  calls_[call.call] = id;
+  call_connections_[call.call] = id;
   ++context_.counters.reused;
-  connection->give(std::move(call));
-  if (connection->call()) watch(*connection);
+  connection->send(std::move(call));
+  if (connection->call()) schedule_check(*connection);
   return true;
 }
 
 // True also if the connection failed at once: the call has ended then.
-bool EngineClient::connect(core::StartCall& call) {
-  if (!may_open(line_of(call.kind))) return false;
-  const Connecting begun = begin_connect(call.address);
-  if (begun.fd < 0 && begun.end == ConnectionEnd::kNoDescriptor) return false;
-  if (begun.fd < 0) {
-    ++context_.counters.engine_ends[static_cast<std::size_t>(begun.end)];
-    end_call(call.call, begun.end);
+bool EngineClient::send_on_new_connection(core::StartCall& call) {
+  if (!may_connect(queue_of(call.kind))) return false;
+  const Connecting connecting = begin_connect(call.address);
+  if (connecting.fd < 0 && connecting.end == ConnectionEnd::kNoDescriptor) return false;
+  if (connecting.fd < 0) {
+    ++context_.counters.engine_ends[static_cast<std::size_t>(connecting.end)];
+    end_call(call.call, connecting.end);
     return true;
   }
   ++context_.counters.connected;
   context_.counters.engine_connections.up();
-  const ConnectionId id = ++last_id_;
-  calls_[call.call] = id;
-  const TimeUs up_by = monotonic_now() + limits_.connect_timeout;
-  auto connection = std::make_shared<EngineConnection>(context_, *this, id, begun.fd, std::move(call), up_by);
+  const ConnectionId id = ++last_connection_id_;
+  call_connections_[call.call] = id;
+  const TimeUs connect_deadline = monotonic_now() + limits_.connect_timeout;
+  auto connection = std::make_shared<EngineConnection>(context_, *this, id, connecting.fd, std::move(call),
+                                                       connect_deadline);
   connections_[id] = connection;
-  watch(*connection);
+  schedule_check(*connection);
   return true;
 }
 
-bool EngineClient::may_open(Line line) const {
-  const std::size_t kept = line == kStarts ? limits_.connections / kKeptForRunning : 0;
-  return connections_.size() + kept < limits_.connections;
+bool EngineClient::may_connect(Queue queue) const {
+  const std::size_t reserved = queue == kStarts ? limits_.connections / kReservedDivisor : 0;
+  return connections_.size() + reserved < limits_.connections;
 }
 
 bool EngineClient::end_waiting(core::CallId call, ConnectionEnd end) {
-  for (auto& line : waiting_) {
+  for (auto& queue : waiting_) {
     const auto it =
-        std::find_if(line.begin(), line.end(), [&](const Waiting& w) { return w.call.call == call; });
-    if (it == line.end()) continue;
-    line.erase(it);
-    count_waiting();
+        std::find_if(queue.begin(), queue.end(), [&](const Waiting& w) { return w.call.call == call; });
+    if (it == queue.end()) continue;
+    queue.erase(it);
+    update_waiting_count();
     end_call(call, end);
     return true;
   }
@@ -97,33 +100,34 @@
 
 void EngineClient::drop(core::CallId call) {
   if (end_waiting(call, ConnectionEnd::kDroppedUnsent)) return;
-  const auto it = calls_.find(call);
-  if (it != calls_.end()) connections_.at(it->second)->drop();
+  const auto it = call_connections_.find(call);
+  if (it != call_connections_.end()) connections_.at(it->second)->drop();
 }
 
 void EngineClient::withdraw(core::CallId call) {
   if (end_waiting(call, ConnectionEnd::kWithdrawn)) return;
-  const auto it = calls_.find(call);
-  if (it == calls_.end()) return;
+  const auto it = call_connections_.find(call);
+  if (it == call_connections_.end()) return;
   const std::shared_ptr<EngineConnection> connection = connections_.at(it->second);
   if (connection->connecting()) connection->close(ConnectionEnd::kWithdrawn);
 }
 
-void EngineClient::close_connection_of(core::AttemptId attempt) {
-  const auto it = idle_.find(attempt);
-  if (it != idle_.end()) connections_.at(it->second)->close(ConnectionEnd::kAttemptOver);
+void EngineClient::close_idle_connection(core::AttemptId attempt) {
+  const auto it = idle_connections_.find(attempt);
+  if (it != idle_connections_.end()) connections_.at(it->second)->close(ConnectionEnd::kAttemptOver);
 }
 
-void EngineClient::answered(EngineConnection& connection, core::CallId call, core::CallAnswer answer) {
-  calls_.erase(call);
+void EngineClient::on_answer(EngineConnection& connection, core::CallId call, core::CallAnswer answer) {
+  call_connections_.erase(call);
   // Guards against a connection that nobody gives a call or closes, where two of an attempt were out at once.
-  if (connection.idle() && idle_.count(connection.attempt()) > 0)
+  if (connection.idle() && idle_connections_.count(connection.attempt()) > 0)
     connection.close(ConnectionEnd::kAttemptOver);
-  if (connection.idle()) idle_[connection.attempt()] = connection.id();
+  if (connection.idle()) idle_connections_[connection.attempt()] = connection.id();
   context_.post(core::CallAnswered{call, std::move(answer)});
 }
 
-void EngineClient::ended(EngineConnection& connection, ConnectionEnd end, std::optional<core::CallId> call) {
+void EngineClient::on_closed(EngineConnection& connection, ConnectionEnd end,
+                             std::optional<core::CallId> call) {
   ++context_.counters.engine_ends[static_cast<std::size_t>(end)];
   context_.log.write(log::Level::kDebug, log::Component::kNet, "engine connection ended",
                      {{"end", name_of(end)}, {"call", static_cast<std::int64_t>(call.value_or(0))}});
@@ -133,59 +137,59 @@
     context_.closed.push_back(it->second);
     connections_.erase(it);
   }
-  const auto idle = idle_.find(connection.attempt());
-  if (idle != idle_.end() && idle->second == connection.id()) idle_.erase(idle);
+  const auto idle = idle_connections_.find(connection.attempt());
+  if (idle != idle_connections_.end() && idle->second == connection.id()) idle_connections_.erase(idle);
   if (call) end_call(*call, end);
 }
 
 void EngineClient::end_call(core::CallId call, ConnectionEnd end) {
-  calls_.erase(call);
+  call_connections_.erase(call);
   context_.post(core::CallEnded{call, end});
 }
 
 // One timer a connection, not one a call: guards against timers that gather on busy connections.
-void EngineClient::watch(EngineConnection& connection) {
+void EngineClient::schedule_check(EngineConnection& connection) {
   const TimeUs due = connection.due();
-  if (connection.watched != 0 && connection.watched <= due) return;
-  connection.watched = due;
-  due_.set(due, connection.id());
+  if (connection.next_check != 0 && connection.next_check <= due) return;
+  connection.next_check = due;
+  timers_.set(due, connection.id());
 }
 
 void EngineClient::check(TimeUs now) {
-  while (const auto due = due_.pop_due(now)) {
+  while (const auto due = timers_.pop_due(now)) {
     const auto it = connections_.find(due->second);
     if (it == connections_.end()) continue;
     const std::shared_ptr<EngineConnection> connection = it->second;
-    if (connection->watched != due->first) continue;
-    connection->watched = 0;
+    if (connection->next_check != due->first) continue;
+    connection->next_check = 0;
     connection->check(now);
-    if (connection->call()) watch(*connection);
+    if (connection->call()) schedule_check(*connection);
   }
   expire_waiting(now);
-  place_waiting();
-  count_waiting();
+  send_waiting();
+  update_waiting_count();
 }
 
-void EngineClient::place_waiting() {
-  for (auto& line : waiting_) {
-    while (!line.empty() && place(line.front().call)) line.pop_front();
+void EngineClient::send_waiting() {
+  for (auto& queue : waiting_) {
+    while (!queue.empty() && try_send(queue.front().call)) queue.pop_front();
   }
 }
 
 void EngineClient::expire_waiting(TimeUs now) {
-  for (auto& line : waiting_) {
-    while (!line.empty() && line.front().until <= now) {
-      const core::CallId call = line.front().call.call;
-      line.pop_front();
+  for (auto& queue : waiting_) {
+    while (!queue.empty() && queue.front().deadline <= now) {
+      const core::CallId call = queue.front().call.call;
+      queue.pop_front();
       end_call(call, ConnectionEnd::kNoDescriptor);
     }
   }
 }
 
-void EngineClient::count_waiting() {
-  std::size_t all = 0;
-  for (const auto& line : waiting_) all += line.size();
-  context_.counters.waiting_calls.set(all);
+void EngineClient::update_waiting_count() {
+  std::size_t total = 0;
+  for (const auto& queue : waiting_) total += queue.size();
+  context_.counters.waiting_calls.set(total);
 }
 
 void EngineClient::close_all() {
--- a/src/net/engine_connection.cpp
+++ b/src/net/engine_connection.cpp
@@ -13,23 +13,23 @@
 
 using core::ConnectionEnd;
 
-constexpr TimeUs kStalledFor = 100'000;  // inside an answer, which is written in one go
+constexpr TimeUs kStallTimeout = 100'000;  // inside an answer, which is written in one go
 
 }  // namespace
 
 EngineConnection::EngineConnection(Context& context, EngineConnectionOwner& owner, std::uint64_t id, int fd,
-                                   core::StartCall call, TimeUs up_by)
+                                   core::StartCall call, TimeUs connect_deadline)
     : context_(context),
       owner_(owner),
       id_(id),
       attempt_(call.attempt),
       channel_(context.reactor, fd, *this),
       call_(std::move(call)),
-      begun_at_(monotonic_now()),
-      up_by_(up_by - context.lost),
-      answer_by_(call_->answer_by - context.lost),
+      connect_started_at_(monotonic_now()),
+      connect_deadline_(connect_deadline - context.lost),
+      answer_deadline_(call_->answer_by - context.lost),
       parser_(http::kPageBytesMost),
-      out_(context.pool),
+      unsent_(context.pool),
       body_(context.pool) {
   channel_.want_write(true);
 }
@@ -39,16 +39,16 @@
   return call_->call;
 }
 
-void EngineConnection::give(core::StartCall call) {
+void EngineConnection::send(core::StartCall call) {
   call_ = std::move(call);
-  answer_by_ = call_->answer_by - context_.lost;
+  answer_deadline_ = call_->answer_by - context_.lost;
   write_request();
 }
 
-void EngineConnection::came_up() {
+void EngineConnection::on_connected() {
   ConnectionEnd end = ConnectionEnd::kUnreachable;
   if (!connect_came_up(channel_.fd(), end)) return close(end);
-  context_.counters.connects.add(monotonic_now() - begun_at_);
+  context_.counters.connects.add(monotonic_now() - connect_started_at_);
   channel_.want_read(true);
   write_request();
 }
@@ -66,23 +66,24 @@
   state_ = State::kBusy;
   parser_.reset();
   body_.clear();
-  rows_ = {};
-  out_.append(http::write_call(*call_, monotonic_now()));
+  row_check_ = {};
+  unsent_.append(http::write_call(*call_, monotonic_now()));
   flush();
 }
 
 void EngineConnection::flush() {
-  if (!write_chain(channel_.fd(), out_, context_.counters.engine_bytes_out)) return close(broken_end(true));
-  channel_.want_write(!out_.empty());
+  if (!write_chain(channel_.fd(), unsent_, context_.counters.engine_bytes_out))
+    return close(end_by_peer(true));
+  channel_.want_write(!unsent_.empty());
 }
 
 void EngineConnection::on_writable() {
-  if (state_ == State::kConnecting) return came_up();
+  if (state_ == State::kConnecting) return on_connected();
   flush();
 }
 
 void EngineConnection::on_error() {
-  if (state_ == State::kConnecting) return came_up();
+  if (state_ == State::kConnecting) return on_connected();
   on_readable();
 }
 
@@ -93,63 +94,64 @@
 
 void EngineConnection::on_readable() {
   BufferChain in(context_.pool);
-  const std::span<char> room = in.room();
-  const Moved moved = read_some(channel_.fd(), room);
-  if (moved.kind == Moved::Kind::kLater) return;
-  if (moved.kind != Moved::Kind::kBytes) return close(broken_end(moved.kind == Moved::Kind::kReset));
-  context_.counters.engine_bytes_in += moved.bytes;
+  const std::span<char> free_space = in.room();
+  const Moved io_result = read_some(channel_.fd(), free_space);
+  if (io_result.kind == Moved::Kind::kLater) return;
+  if (io_result.kind != Moved::Kind::kBytes) return close(end_by_peer(io_result.kind == Moved::Kind::kReset));
+  context_.counters.engine_bytes_in += io_result.bytes;
   // Bytes with no call on it, or before the call is whole, answer nothing of ours.
-  if (state_ == State::kIdle || !out_.empty()) return close(ConnectionEnd::kUnreadable);
-  read_at_ = monotonic_now() - context_.lost;
-  if (!read_bytes({room.data(), moved.bytes})) return close(ConnectionEnd::kUnreadable);
-  if (state_ == State::kBusy) owner_.begun(*this);
+  if (state_ == State::kIdle || !unsent_.empty()) return close(ConnectionEnd::kUnreadable);
+  last_read_at_ = monotonic_now() - context_.lost;
+  if (!read_bytes({free_space.data(), io_result.bytes})) return close(ConnectionEnd::kUnreadable);
+  if (state_ == State::kBusy) owner_.on_answer_begun(*this);
 }
 
 // False if what came can't be read.
 bool EngineConnection::read_bytes(std::string_view bytes) {
   using Result = http::ResponseParser::Result;
-  const Result result = read_answer_bytes(parser_, bytes, [this](std::string_view piece) {
-    rows_.feed(piece);
+  const Result result = parse_answer_bytes(parser_, bytes, [this](std::string_view piece) {
+    row_check_.feed(piece);
     body_.append(piece);
   });
   if (result != Result::kDone) return result == Result::kMore;
-  answer_is_whole(bytes.empty());
+  on_complete_answer(bytes.empty());
   return true;
 }
 
-void EngineConnection::answer_is_whole(bool clean) {
+void EngineConnection::on_complete_answer(bool no_trailing_bytes) {
   auto rows = std::make_unique<ChainPayload>(std::move(body_));
   body_ = BufferChain(context_.pool);
-  auto answer = http::read_answer(call_->kind, parser_.head(), std::move(rows), rows_.whole());
+  auto answer = http::read_answer(call_->kind, parser_.head(), std::move(rows), row_check_.whole());
   // Bytes behind an answer belong to no call: the connection is not used again. Behind rows they may be rows
   // that the length left out: these are asked for again.
   const bool has_rows = parser_.head().status == 200;
-  if (!answer || (has_rows && !clean)) return close(ConnectionEnd::kUnreadable);
+  if (!answer || (has_rows && !no_trailing_bytes)) return close(ConnectionEnd::kUnreadable);
   const core::CallId call = call_->call;
   call_.reset();
   state_ = State::kIdle;
-  if (!clean) {
+  if (!no_trailing_bytes) {
     close(ConnectionEnd::kUnreadable);
   } else if (!parser_.head().keep_alive) {
     close(ConnectionEnd::kClosedIdle);
   }
-  owner_.answered(*this, call, std::move(*answer));
+  owner_.on_answer(*this, call, std::move(*answer));
 }
 
 // How a connection that the other side ended has ended: it depends on what had passed.
-ConnectionEnd EngineConnection::broken_end(bool reset) const {
+ConnectionEnd EngineConnection::end_by_peer(bool reset) const {
   if (state_ == State::kIdle) return ConnectionEnd::kClosedIdle;
-  if (!out_.empty() || state_ == State::kConnecting)
+  if (!unsent_.empty() || state_ == State::kConnecting)
     return reset ? ConnectionEnd::kResetUnsent : ConnectionEnd::kClosedUnsent;
-  return end_before_whole_answer(parser_, reset);
+  return end_with_incomplete_answer(parser_, reset);
 }
 
 TimeUs EngineConnection::due() const {
-  if (state_ == State::kConnecting) return std::min(up_by_, answer_by_) + context_.lost;
-  if (state_ == State::kBusy && !parser_.begun()) return answer_by_ + context_.lost;
+  if (state_ == State::kConnecting) return std::min(connect_deadline_, answer_deadline_) + context_.lost;
+  if (state_ == State::kBusy && !parser_.begun()) return answer_deadline_ + context_.lost;
   // Guards against answers that stop short on a connection that stays open: waiting the call's whole time for
   // the rest costs a short query its aim.
-  if (state_ == State::kBusy) return std::min(answer_by_, read_at_ + kStalledFor) + context_.lost;
+  if (state_ == State::kBusy)
+    return std::min(answer_deadline_, last_read_at_ + kStallTimeout) + context_.lost;
   return std::numeric_limits<TimeUs>::max();
 }
 
@@ -160,7 +162,7 @@
 }
 
 void EngineConnection::drop() {
-  const bool unsent = state_ == State::kConnecting || !out_.empty();
+  const bool unsent = state_ == State::kConnecting || !unsent_.empty();
   close(unsent ? ConnectionEnd::kDroppedUnsent : ConnectionEnd::kDropped);
 }
 
@@ -168,11 +170,11 @@
   if (state_ == State::kClosed) return;
   state_ = State::kClosed;
   channel_.close();
-  out_.clear();
+  unsent_.clear();
   body_.clear();
   const auto call = this->call();
   call_.reset();
-  owner_.ended(*this, end, call);
+  owner_.on_closed(*this, end, call);
 }
 
 }  // namespace orchidgw::net
--- a/src/net/engine_connection.h
+++ b/src/net/engine_connection.h
@@ -20,18 +20,18 @@
 class EngineConnectionOwner {
  public:
   virtual ~EngineConnectionOwner() = default;
-  virtual void answered(EngineConnection& connection, core::CallId call, core::CallAnswer answer) = 0;
+  virtual void on_answer(EngineConnection& connection, core::CallId call, core::CallAnswer answer) = 0;
   // An answer has begun and goes on: what it waits for is due sooner now.
-  virtual void begun(EngineConnection& connection) = 0;
+  virtual void on_answer_begun(EngineConnection& connection) = 0;
   // With the call that was on it, if one was. The connection is closed.
-  virtual void ended(EngineConnection& connection, core::ConnectionEnd end,
-                     std::optional<core::CallId> call) = 0;
+  virtual void on_closed(EngineConnection& connection, core::ConnectionEnd end,
+                         std::optional<core::CallId> call) = 0;
 };
 
 class EngineConnection final : public ChannelHandler {
  public:
   EngineConnection(Context& context, EngineConnectionOwner& owner, std::uint64_t id, int fd,
-                   core::StartCall call, TimeUs up_by);
+                   core::StartCall call, TimeUs connect_deadline);
 
   std::uint64_t id() const { return id_; }
   core::AttemptId attempt() const { return attempt_; }
@@ -39,9 +39,9 @@
   bool connecting() const { return state_ == State::kConnecting; }
   std::optional<core::CallId> call() const;
 
-  void give(core::StartCall call);  // on an idle connection
+  void send(core::StartCall call);  // on an idle connection
   TimeUs due() const;               // when `check` has something to do
-  TimeUs watched = 0;               // the owner's note: when it looks next; 0: not at all
+  TimeUs next_check = 0;            // the owner's note: when it looks next; 0: not at all
   void check(TimeUs now);
   void drop();  // gives its call up
   void close(core::ConnectionEnd end);
@@ -53,12 +53,12 @@
 
  private:
   enum class State { kConnecting, kBusy, kIdle, kClosed };
-  void came_up();
+  void on_connected();
   void write_request();
   void flush();
   bool read_bytes(std::string_view bytes);
-  void answer_is_whole(bool clean);
-  core::ConnectionEnd broken_end(bool reset) const;
+  void on_complete_answer(bool no_trailing_bytes);
+  core::ConnectionEnd end_by_peer(bool reset) const;
 
   Context& context_;
   EngineConnectionOwner& owner_;
@@ -67,16 +67,16 @@
   Channel channel_;
   State state_ = State::kConnecting;
   std::optional<core::StartCall> call_;
-  TimeUs begun_at_;
+  TimeUs connect_started_at_;
   // On the clock without the time that this process lost: guards against laying its own stall on the engine,
   // whose answer lies unread.
-  TimeUs up_by_;
-  TimeUs answer_by_;
-  TimeUs read_at_ = 0;  // the last bytes of an answer
+  TimeUs connect_deadline_;
+  TimeUs answer_deadline_;
+  TimeUs last_read_at_ = 0;  // the last bytes of an answer
   http::ResponseParser parser_;
-  BufferChain out_;
+  BufferChain unsent_;
   BufferChain body_;
-  http::RowCheck rows_;
+  http::RowCheck row_check_;
 };
 
 }  // namespace orchidgw::net
--- a/src/net/fleet_member.cpp
+++ b/src/net/fleet_member.cpp
@@ -10,75 +10,78 @@
 namespace {
 
 constexpr TimeUs kUsPerMs = 1000;
-constexpr TimeUs kLeaveWithin =
+constexpr TimeUs kLeaveTimeout =
     500'000;  // a stop waits so long for the keepers' word that the parts are back
 // Of a lease's term: keepers that hear nothing of their leader for a quarter look for another, so that its
 // loss costs no holder its lease (two elections and an ask fit into a term).
-constexpr TimeUs kElectionPart = 4;
-constexpr TimeUs kHeartbeatPart = 24;
+constexpr TimeUs kElectionDivisor = 4;
+constexpr TimeUs kHeartbeatDivisor = 24;
 
-std::vector<fleet::KeeperId> ids_of(const fleet::FleetConfig& config) {
+std::vector<fleet::KeeperId> keeper_ids(const fleet::FleetConfig& config) {
   std::vector<fleet::KeeperId> out;
   for (const fleet::KeeperPlace& keeper : config.keepers) out.push_back(keeper.id);
   return out;
 }
 
-fleet::KeeperId own_id(const fleet::FleetConfig& config, const FleetSelf& self) {
-  const fleet::KeeperPlace* place = config.keeper_named(self.name);
-  return place != nullptr && self.keeps ? place->id : 0;
+fleet::KeeperId own_keeper_id(const fleet::FleetConfig& config, const FleetMemberOptions& options) {
+  const fleet::KeeperPlace* place = config.keeper_named(options.name);
+  return place != nullptr && options.runs_keeper ? place->id : 0;
 }
 
 // Not itself, where it is named and does not keep.
-std::vector<fleet::KeeperId> asked_by(const fleet::FleetConfig& config, const FleetSelf& self) {
-  std::vector<fleet::KeeperId> out = ids_of(config);
-  const fleet::KeeperPlace* place = config.keeper_named(self.name);
-  if (place != nullptr && !self.keeps && out.size() > 1) std::erase(out, place->id);
+std::vector<fleet::KeeperId> keepers_to_ask(const fleet::FleetConfig& config,
+                                            const FleetMemberOptions& options) {
+  std::vector<fleet::KeeperId> out = keeper_ids(config);
+  const fleet::KeeperPlace* place = config.keeper_named(options.name);
+  if (place != nullptr && !options.runs_keeper && out.size() > 1) std::erase(out, place->id);
   return out;
 }
 
-fleet::Hello hello_of(const fleet::FleetConfig& config, const FleetSelf& self, fleet::KeeperId keeper) {
-  return {fleet::kVersion, config.name, config.number, {self.name, self.incarnation}, keeper, {}, {}};
+fleet::Hello make_hello(const fleet::FleetConfig& config, const FleetMemberOptions& options,
+                        fleet::KeeperId keeper) {
+  return {fleet::kVersion, config.name, config.number, {options.name, options.incarnation}, keeper, {}, {}};
 }
 
 }  // namespace
 
-keeper::Options FleetMember::keeper_options(const fleet::FleetConfig& config, const FleetSelf& self,
-                                            fleet::KeeperId id) {
+keeper::Options FleetMember::keeper_options(const fleet::FleetConfig& config,
+                                            const FleetMemberOptions& options, fleet::KeeperId id) {
   keeper::Options out;
   out.id = id;
-  out.voters = ids_of(config);
-  out.seed = self.seed ^ (std::uint64_t{id} << 32);
-  out.election_ms = static_cast<unsigned>(std::max<TimeUs>(config.term / kElectionPart / kUsPerMs, 20));
-  out.heartbeat_ms = static_cast<unsigned>(std::max<TimeUs>(config.term / kHeartbeatPart / kUsPerMs, 5));
+  out.voters = keeper_ids(config);
+  out.seed = options.seed ^ (std::uint64_t{id} << 32);
+  out.election_ms = static_cast<unsigned>(std::max<TimeUs>(config.term / kElectionDivisor / kUsPerMs, 20));
+  out.heartbeat_ms = static_cast<unsigned>(std::max<TimeUs>(config.term / kHeartbeatDivisor / kUsPerMs, 5));
   return out;
 }
 
-FleetMember::FleetMember(Context& context, const fleet::FleetConfig& config, const FleetSelf& self,
-                         const Settings& settings, const limits::LimitSet* limits,
-                         std::function<limits::FleetUse()> use, std::function<void(core::StartCall)> send)
+FleetMember::FleetMember(Context& context, const fleet::FleetConfig& config,
+                         const FleetMemberOptions& options, const Settings& settings,
+                         const limits::LimitSet* limits, std::function<limits::FleetUse()> use,
+                         std::function<void(core::StartCall)> send)
     : context_(context),
       config_(config),
       settings_(settings),
-      use_(std::move(use)),
-      own_keeper_(own_id(config, self)),
-      role_({self.name, self.incarnation}, fleet::terms_of(config, settings, limits), asked_by(config, self),
-            self.seed),
+      fleet_use_(std::move(use)),
+      own_keeper_(own_keeper_id(config, options)),
+      role_({options.name, options.incarnation}, fleet::terms_of(config, settings, limits),
+            keepers_to_ask(config, options), options.seed),
       demand_(settings),
-      port_(context, config, hello_of(config, self, own_keeper_), self.listener, self.seed,
-            {[this](std::uint64_t link, fleet::Message message) { came(link, std::move(message)); },
+      port_(context, config, make_hello(config, options, own_keeper_), options.listener, options.seed,
+            {[this](std::uint64_t link, fleet::Message message) { on_message(link, std::move(message)); },
              [this](std::uint64_t link) {
-               if (keeper_) keeper_->post(KeeperThread::LinkGone{link});
+               if (keeper_) keeper_->post(KeeperThread::LinkClosed{link});
              },
              [this](fleet::KeeperId keeper) { role_.link_down(monotonic_now(), keeper); },
              [this](const fleet::Hello& hello) {
                keeper_heard_ = true;
-               if (keeper_) keeper_->post(KeeperThread::Greeted{hello.keeper, hello.begun, hello.at});
+               if (keeper_) keeper_->post(KeeperThread::HelloReceived{hello.keeper, hello.begun, hello.at});
              }}) {
   if (config.keys)
     promises_.emplace(context, role_.holder().self(), std::move(send),
-                      [this](const promises::KeyAsk& one) { this->ask(one); });
+                      [this](const promises::KeyAsk& one) { this->request_keys(one); });
   if (own_keeper_ == 0) return;
-  keeper_ = std::make_unique<KeeperThread>(keeper_options(config, self, own_keeper_), config.store,
+  keeper_ = std::make_unique<KeeperThread>(keeper_options(config, options, own_keeper_), config.store,
                                            store::StoredOwner{config.name, config.number, own_keeper_, {}},
                                            role_.holder().terms());
   wake_ = std::make_unique<Channel>(context.reactor, keeper_->wake_descriptor(), *this);
@@ -87,45 +90,45 @@
 
 FleetMember::~FleetMember() = default;
 
-void FleetMember::put_in_force(const fleet::FleetConfig& config, const limits::LimitSet* limits) {
+void FleetMember::apply_configuration(const fleet::FleetConfig& config, const limits::LimitSet* limits) {
   if (keeper_) keeper_->post(fleet::terms_of(config, settings_, limits));
 }
 
 void FleetMember::check(TimeUs now) {
   port_.check(now);
-  for (const fleet::KeeperId keeper : waits_for_) port_.greet(keeper);
-  look_at_stage(now);
-  if (role_.due(now) && !role_.holder().left() && !role_.holder().superseded()) ask(now);
+  for (const fleet::KeeperId keeper : awaited_keepers_) port_.ensure_connection(keeper);
+  update_stage(now);
+  if (role_.due(now) && !role_.holder().left() && !role_.holder().superseded()) request_lease(now);
   if (promises_) promises_->check(now, role_.holder().terms().term);
 }
 
 // Without a lease no promise is asked for: no keeper may be there to give one, and who may send on it is not
 // a member. At once, not after a wait.
-core::KeyVerdict FleetMember::verdict(const std::string& identity) const {
+core::KeyVerdict FleetMember::key_status(const std::string& identity) const {
   const TimeUs now = monotonic_now();
   const bool may_be_given = role_.holder().leased(now) && role_.keys_settled();
-  return may_be_given ? promises_->verdict(identity, now) : core::KeyVerdict::kNoRoom;
+  return may_be_given ? promises_->key_status(identity, now) : core::KeyVerdict::kNoRoom;
 }
 
 // To whom its lease is asked of: that follows the leader.
-void FleetMember::ask(const promises::KeyAsk& ask) {
+void FleetMember::request_keys(const promises::KeyAsk& ask) {
   if (role_.asks() == own_keeper_) {
-    keeper_->post(KeeperThread::KeysAsked{0, ask});
+    keeper_->post(KeeperThread::KeyRequest{0, ask});
   } else {
     port_.send(role_.asks(), ask);
   }
 }
 
-void FleetMember::ask(TimeUs now) {
-  const limits::FleetUse use = use_();
+void FleetMember::request_lease(TimeUs now) {
+  const limits::FleetUse use = fleet_use_();
   const budget::Holder& holder = role_.holder();
   const fleet::KeeperId before = role_.asks();
   const budget::Ask ask =
       role_.ask(now, demand_.parts(now, holder.terms(), use), demand_.in_use(now, holder, use));
   const fleet::KeeperId to = role_.asks();
-  if (to != before) port_.hang_up(before);
+  if (to != before) port_.disconnect(before);
   if (to == own_keeper_) {
-    keeper_->post(KeeperThread::Asked{0, ask});
+    keeper_->post(KeeperThread::LeaseRequest{0, ask});
   } else {
     port_.send(to, ask);
   }
@@ -141,15 +144,15 @@
 
 std::optional<fleet::Shares> FleetMember::changed_shares(TimeUs now) {
   const bool leased = role_.holder().leased(now);
-  if (!look_again_ && leased == leased_) return std::nullopt;
-  if (leased_ && !leased) {
+  if (!shares_outdated_ && leased == was_leased_) return std::nullopt;
+  if (was_leased_ && !leased) {
     context_.log.write(log::Level::kWarn, log::Component::kFleet, "no lease: the cut-off part alone is used");
-  } else if (!leased_ && leased) {
+  } else if (!was_leased_ && leased) {
     context_.log.write(log::Level::kInfo, log::Component::kFleet, "leased",
                        {{"live", static_cast<std::int64_t>(role_.holder().live())}});
   }
-  look_again_ = false;
-  leased_ = leased;
+  shares_outdated_ = false;
+  was_leased_ = leased;
   log_lease(now);
   fleet::Shares shares = fleet::shares_of(role_.holder(), settings_, now);
   if (shares_ && *shares_ == shares) return std::nullopt;
@@ -174,26 +177,26 @@
   context_.log.write(log::Level::kDebug, log::Component::kFleet, line.str());
 }
 
-void FleetMember::came(std::uint64_t link, fleet::Message message) {
+void FleetMember::on_message(std::uint64_t link, fleet::Message message) {
   if (auto* ask = std::get_if<budget::Ask>(&message)) {
-    if (keeper_) keeper_->post(KeeperThread::Asked{link, std::move(*ask)});
+    if (keeper_) keeper_->post(KeeperThread::LeaseRequest{link, std::move(*ask)});
   } else if (auto* keys = std::get_if<promises::KeyAsk>(&message)) {
-    if (keeper_) keeper_->post(KeeperThread::KeysAsked{link, std::move(*keys)});
+    if (keeper_) keeper_->post(KeeperThread::KeyRequest{link, std::move(*keys)});
   } else if (auto* log = std::get_if<fleet::LogMessage>(&message)) {
     // Known at once: guards against a greeting that is sent before the keeper's thread has looked at this.
-    if (keeps_) port_.knows(log->from);
+    if (store_in_use_) port_.add_begun_keeper(log->from);
     if (keeper_) keeper_->post(std::move(*log));
   } else {
-    told(message);
+    handle_answer(message);
   }
 }
 
-void FleetMember::told(const fleet::Message& message) {
+void FleetMember::handle_answer(const fleet::Message& message) {
   const TimeUs now = monotonic_now();
   if (const auto* grant = std::get_if<fleet::GrantTold>(&message)) {
     const bool superseded = role_.holder().superseded();
     const bool no_room = role_.holder().no_room();
-    if (role_.told(now, *grant)) look_again_ = true;
+    if (role_.told(now, *grant)) shares_outdated_ = true;
     if (role_.holder().superseded() && !superseded)
       context_.log.write(log::Level::kError, log::Component::kFleet,
                          "another process of this name has joined the fleet: this one uses nothing any more");
@@ -203,24 +206,24 @@
   } else if (const auto* elsewhere = std::get_if<fleet::Elsewhere>(&message)) {
     role_.told(now, *elsewhere);
   } else if (const auto* keys = std::get_if<promises::KeyTold>(&message)) {
-    if (promises_) promises_->told(now, *keys);
+    if (promises_) promises_->on_answer(now, *keys);
   }
   context_.reactor.hurry();
 }
 
 void FleetMember::on_readable() {
   KeeperThread::Output out = keeper_->take();
-  for (const std::string& note : out.notes)
-    context_.log.write(log::Level::kInfo, log::Component::kFleet, note);
-  keeps_ = out.standing.keeps;
-  keeper_heard_ = keeper_heard_ || keeps_;
-  waits_for_ = std::move(out.standing.waits_for);
-  for (const fleet::KeeperId keeper : out.standing.begun) port_.knows(keeper);
-  port_.stands(out.standing.at);
+  for (const std::string& line : out.log_lines)
+    context_.log.write(log::Level::kInfo, log::Component::kFleet, line);
+  store_in_use_ = out.state.store_in_use;
+  keeper_heard_ = keeper_heard_ || store_in_use_;
+  awaited_keepers_ = std::move(out.state.awaited_keepers);
+  for (const fleet::KeeperId keeper : out.state.begun) port_.add_begun_keeper(keeper);
+  port_.set_log_standing(out.state.log_standing);
   for (const fleet::LogMessage& message : out.to_keepers) port_.send(message.to, message);
   for (const auto& reply : out.replies) {
     if (reply.link == 0) {
-      told(fleet::message_of(reply.answer));
+      handle_answer(fleet::message_of(reply.answer));
     } else {
       port_.reply(reply.link, fleet::message_of(reply.answer));
     }
@@ -235,18 +238,18 @@
   if (leaving_since_ > 0) return;
   leaving_since_ = now;
   role_.leave(now);
-  look_again_ = true;
+  shares_outdated_ = true;
 }
 
 bool FleetMember::left(TimeUs now) const {
-  return leaving_since_ > 0 && (role_.holder().left() || now - leaving_since_ >= kLeaveWithin);
+  return leaving_since_ > 0 && (role_.holder().left() || now - leaving_since_ >= kLeaveTimeout);
 }
 
-void FleetMember::look_at_stage(TimeUs now) {
+void FleetMember::update_stage(TimeUs now) {
   const budget::Holder& holder = role_.holder();
   recovery::Facts facts;
   facts.keeps = own_keeper_ != 0;
-  facts.store_ok = keeps_;
+  facts.store_ok = store_in_use_;
   facts.keeper_heard = keeper_heard_;
   facts.leader_known = role_.leader_known();
   facts.leased = holder.leased(now);
--- a/src/net/fleet_member.h
+++ b/src/net/fleet_member.h
@@ -19,18 +19,18 @@
 namespace orchidgw::net {
 
 // What a start of a member needs beside the file.
-struct FleetSelf {
+struct FleetMemberOptions {
   std::string name;  // of this controller
   std::uint64_t incarnation = 0;
   std::uint64_t seed = 0;
-  int listener = -1;  // of a keeper; owned from here on
-  bool keeps = true;  // where the file names it as a keeper; else it is a member alone
+  int listener = -1;        // of a keeper; owned from here on
+  bool runs_keeper = true;  // where the file names it as a keeper; else it is a member alone
 };
 
 class FleetMember final : public ChannelHandler {
  public:
   // Throws what names the store's folder and the reason.
-  FleetMember(Context& context, const fleet::FleetConfig& config, const FleetSelf& self,
+  FleetMember(Context& context, const fleet::FleetConfig& config, const FleetMemberOptions& options,
               const Settings& settings, const limits::LimitSet* limits, std::function<limits::FleetUse()> use,
               std::function<void(core::StartCall)> send);
   ~FleetMember() override;
@@ -43,12 +43,12 @@
   std::optional<fleet::Shares> changed_shares(TimeUs now);
 
   Promises* promises() { return promises_ ? &*promises_ : nullptr; }  // null: the fleet keeps no keys
-  core::KeyVerdict verdict(const std::string& identity) const;        // where it keeps them
+  core::KeyVerdict key_status(const std::string& identity) const;     // where it keeps them
 
-  void taken(TimeUs now, const std::string& tenant, TimeUs cost) { demand_.taken(now, tenant, cost); }
-  void engines(double cores) { demand_.engines(cores); }
+  void record_query(TimeUs now, const std::string& tenant, TimeUs cost) { demand_.taken(now, tenant, cost); }
+  void set_engine_cores(double cores) { demand_.engines(cores); }
   // A file was put in force: a leading keeper has the fleet follow it.
-  void put_in_force(const fleet::FleetConfig& config, const limits::LimitSet* limits);
+  void apply_configuration(const fleet::FleetConfig& config, const limits::LimitSet* limits);
 
   void leave(TimeUs now);       // gives all parts back
   bool left(TimeUs now) const;  // the keepers know, or there is no use in waiting any more
@@ -62,19 +62,19 @@
   void on_failure(const char* what) override;
 
  private:
-  void came(std::uint64_t link, fleet::Message message);
-  void told(const fleet::Message& message);
-  void ask(TimeUs now);
-  void ask(const promises::KeyAsk& ask);
+  void on_message(std::uint64_t link, fleet::Message message);
+  void handle_answer(const fleet::Message& message);
+  void request_lease(TimeUs now);
+  void request_keys(const promises::KeyAsk& ask);
   void log_lease(TimeUs now);
-  void look_at_stage(TimeUs now);
-  static keeper::Options keeper_options(const fleet::FleetConfig& config, const FleetSelf& self,
+  void update_stage(TimeUs now);
+  static keeper::Options keeper_options(const fleet::FleetConfig& config, const FleetMemberOptions& options,
                                         fleet::KeeperId id);
 
   Context& context_;
   fleet::FleetConfig config_;
   Settings settings_;
-  std::function<limits::FleetUse()> use_;
+  std::function<limits::FleetUse()> fleet_use_;
   fleet::KeeperId own_keeper_ = 0;
   fleet::MemberRole role_;
   fleet::Demand demand_;
@@ -83,11 +83,11 @@
   std::unique_ptr<Channel> wake_;
   std::optional<Promises> promises_;
   std::optional<fleet::Shares> shares_;  // as they were told last
-  bool look_again_ = true;               // the lease is another
-  bool leased_ = false;
-  bool keeps_ = false;  // its disk is in use
+  bool shares_outdated_ = true;          // the lease is another
+  bool was_leased_ = false;
+  bool store_in_use_ = false;  // its disk is in use
   bool keeper_heard_ = false;
-  std::vector<fleet::KeeperId> waits_for_;  // greetings without which its disk is not used
+  std::vector<fleet::KeeperId> awaited_keepers_;  // greetings without which its disk is not used
   std::optional<recovery::Stage> stage_;
   TimeUs leaving_since_ = 0;
 };
--- a/src/net/fleet_port.cpp
+++ b/src/net/fleet_port.cpp
@@ -9,9 +9,9 @@
 namespace orchidgw::net {
 namespace {
 
-constexpr TimeUs kCheckEvery = 250'000;
-constexpr TimeUs kHelloWithin = 2'000'000;
-constexpr TimeUs kPauseLeast = 50'000, kPauseMost = 1'000'000;  // before a connection is tried again
+constexpr TimeUs kCheckInterval = 250'000;
+constexpr TimeUs kHelloTimeout = 2'000'000;
+constexpr TimeUs kMinRetryDelay = 50'000, kMaxRetryDelay = 1'000'000;  // before a connection is tried again
 
 }  // namespace
 
@@ -21,89 +21,90 @@
       config_(config),
       self_(std::move(self)),
       events_(std::move(events)),
-      random_(seed | 1) {
+      random_state_(seed | 1) {
   if (listener < 0) return;
   listener_ = std::make_unique<Channel>(context.reactor, listener, *this);
   listener_->want_read(true);
 }
 
-std::shared_ptr<PeerLink> FleetPort::open(int fd, bool up) {
+std::shared_ptr<PeerLink> FleetPort::open_link(int fd, bool connected) {
   const PeerLink::Events events = {
-      [this](PeerLink& link, fleet::Message message) { came(link, std::move(message)); },
-      [this](PeerLink& link, const std::string& why) { gone(link, why); }};
-  auto link = std::make_shared<PeerLink>(context_, fd, up, ++last_id_, events);
+      [this](PeerLink& link, fleet::Message message) { on_message(link, std::move(message)); },
+      [this](PeerLink& link, const std::string& why) { on_link_closed(link, why); }};
+  auto link = std::make_shared<PeerLink>(context_, fd, connected, ++last_link_id_, events);
   link->send(self_);
   return link;
 }
 
 void FleetPort::on_readable() {
   // Each member has one connection here, another while an old one is not known to be dead; keepers as well.
-  const std::size_t most = 2 * static_cast<std::size_t>(config_.largest) + 4 * config_.keepers.size();
+  const std::size_t max_links = 2 * static_cast<std::size_t>(config_.largest) + 4 * config_.keepers.size();
   while (true) {
     const Accepted accepted = accept_one(listener_->fd());
     if (accepted.kind != Accepted::Kind::kClient) return;
-    auto link = open(accepted.fd, true);
+    auto link = open_link(accepted.fd, true);
     if (!link->is_open()) continue;
     accepted_[link->id()] = link;
-    if (accepted_.size() <= most) continue;
+    if (accepted_.size() <= max_links) continue;
     // Guards against descriptors that run out: the oldest goes, and comes back if it lives.
     accepted_.begin()->second->close("more connections than the fleet has members");
   }
 }
 
-std::string FleetPort::fault_of(const fleet::Hello& hello) const {
+std::string FleetPort::mismatch_of(const fleet::Hello& hello) const {
   if (hello.version != fleet::kVersion) return "speaks version " + std::to_string(hello.version);
   if (hello.fleet != config_.name || hello.number != config_.number)
     return "is of fleet " + hello.fleet + " " + std::to_string(hello.number);
   return "";
 }
 
-void FleetPort::came(PeerLink& link, fleet::Message message) {
+void FleetPort::on_message(PeerLink& link, fleet::Message message) {
   if (const auto* hello = std::get_if<fleet::Hello>(&message)) {
-    const std::string fault = fault_of(*hello);
-    if (fault.empty()) {
+    const std::string mismatch = mismatch_of(*hello);
+    if (mismatch.empty()) {
       link.set_peer(*hello);
-      if (hello->keeper != 0) events_.keeper_greets(*hello);
+      if (hello->keeper != 0) events_.keeper_hello(*hello);
       return;
     }
     context_.log.write(log::Level::kWarn, log::Component::kFleet, "a stranger is turned away",
-                       {{"name", hello->from.name}, {"why", fault}});
-    return link.close(fault);
+                       {{"name", hello->from.name}, {"why", mismatch}});
+    return link.close(mismatch);
   }
   if (!link.peer()) return link.close("no greeting came first");
   events_.message(link.id(), std::move(message));
 }
 
-void FleetPort::gone(PeerLink& link, const std::string& why) {
+void FleetPort::on_link_closed(PeerLink& link, const std::string& why) {
   if (const auto it = accepted_.find(link.id()); it != accepted_.end()) {
     context_.closed.push_back(it->second);
     accepted_.erase(it);
-    return events_.link_gone(link.id());
+    return events_.link_closed(link.id());
   }
   for (auto& [keeper, outgoing] : outgoing_) {
     if (outgoing.link.get() != &link) continue;
     context_.closed.push_back(std::move(outgoing.link));
     outgoing.link = nullptr;
     // Longer after each failure, and spread: a fleet that lost a keeper does not come back as one.
-    outgoing.pause = link.peer() ? kPauseLeast : std::clamp(outgoing.pause * 2, kPauseLeast, kPauseMost);
-    random_ = random_ * 6364136223846793005ULL + 1442695040888963407ULL;
-    const auto part = static_cast<TimeUs>(random_ >> 33) % outgoing.pause;
-    outgoing.not_before = monotonic_now() + outgoing.pause / 2 + part;
+    outgoing.retry_delay =
+        link.peer() ? kMinRetryDelay : std::clamp(outgoing.retry_delay * 2, kMinRetryDelay, kMaxRetryDelay);
+    random_state_ = random_state_ * 6364136223846793005ULL + 1442695040888963407ULL;
+    const auto spread = static_cast<TimeUs>(random_state_ >> 33) % outgoing.retry_delay;
+    outgoing.retry_at = monotonic_now() + outgoing.retry_delay / 2 + spread;
     context_.log.write(log::Level::kDebug, log::Component::kFleet, "a keeper's connection is gone",
                        {{"keeper", static_cast<std::int64_t>(keeper)}, {"why", why}});
-    return events_.keeper_gone(keeper);
+    return events_.keeper_disconnected(keeper);
   }
 }
 
 bool FleetPort::connect(fleet::KeeperId to, Outgoing& outgoing) {
-  if (monotonic_now() < outgoing.not_before) return false;
+  if (monotonic_now() < outgoing.retry_at) return false;
   for (const fleet::KeeperPlace& keeper : config_.keepers) {
     if (keeper.id != to) continue;
-    const Connecting begun = begin_connect(keeper.address);
-    outgoing.pause = std::clamp(outgoing.pause * 2, kPauseLeast, kPauseMost);
-    outgoing.not_before = monotonic_now() + outgoing.pause;
-    if (begun.fd < 0) return false;
-    outgoing.link = open(begun.fd, false);
+    const Connecting connecting = begin_connect(keeper.address);
+    outgoing.retry_delay = std::clamp(outgoing.retry_delay * 2, kMinRetryDelay, kMaxRetryDelay);
+    outgoing.retry_at = monotonic_now() + outgoing.retry_delay;
+    if (connecting.fd < 0) return false;
+    outgoing.link = open_link(connecting.fd, false);
     return true;
   }
   return false;
@@ -116,27 +117,27 @@
   return link->send(message);
 }
 
-void FleetPort::greet(fleet::KeeperId keeper) {
+void FleetPort::ensure_connection(fleet::KeeperId keeper) {
   Outgoing& outgoing = outgoing_[keeper];
   if (!outgoing.link) connect(keeper, outgoing);
 }
 
 // Bounded by the file's keepers: guards against a number that a message made up.
-void FleetPort::knows(fleet::KeeperId begun) {
-  const bool one_of_us = std::any_of(config_.keepers.begin(), config_.keepers.end(),
-                                     [begun](const fleet::KeeperPlace& one) { return one.id == begun; });
-  const bool known = std::find(self_.begun.begin(), self_.begun.end(), begun) != self_.begun.end();
-  if (one_of_us && !known) self_.begun.push_back(begun);
+void FleetPort::add_begun_keeper(fleet::KeeperId begun) {
+  const bool is_configured = std::any_of(config_.keepers.begin(), config_.keepers.end(),
+                                         [begun](const fleet::KeeperPlace& one) { return one.id == begun; });
+  const bool known = std::find(self_.begun.begin(), self_.connecting.end(), begun) != self_.connecting.end();
+  if (is_configured && !known) self_.begun.push_back(begun);
 }
 
 bool FleetPort::reply(std::uint64_t link, const fleet::Message& message) {
   const auto it = accepted_.find(link);
   if (it == accepted_.end()) return false;
-  const std::shared_ptr<PeerLink> kept = it->second;
-  return kept->send(message);
+  const std::shared_ptr<PeerLink> held_link = it->second;
+  return held_link->send(message);
 }
 
-void FleetPort::hang_up(fleet::KeeperId keeper) {
+void FleetPort::disconnect(fleet::KeeperId keeper) {
   const auto it = outgoing_.find(keeper);
   if (it == outgoing_.end() || !it->second.link) return;
   const std::shared_ptr<PeerLink> link = it->second.link;
@@ -145,13 +146,13 @@
 
 void FleetPort::check(TimeUs now) {
   if (now < next_check_) return;
-  next_check_ = now + kCheckEvery;
+  next_check_ = now + kCheckInterval;
   std::vector<std::shared_ptr<PeerLink>> silent;
-  const auto look = [&](const std::shared_ptr<PeerLink>& link) {
-    if (link && !link->peer() && now - link->opened_at() > kHelloWithin) silent.push_back(link);
+  const auto collect_silent = [&](const std::shared_ptr<PeerLink>& link) {
+    if (link && !link->peer() && now - link->opened_at() > kHelloTimeout) silent.push_back(link);
   };
-  for (const auto& [id, link] : accepted_) look(link);
-  for (const auto& [id, outgoing] : outgoing_) look(outgoing.link);
+  for (const auto& [id, link] : accepted_) collect_silent(link);
+  for (const auto& [id, outgoing] : outgoing_) collect_silent(outgoing.link);
   for (const auto& link : silent) link->close("no greeting in time");
 }
 
--- a/src/net/intents.cpp
+++ b/src/net/intents.cpp
@@ -12,10 +12,10 @@
 namespace orchidgw::net {
 namespace {
 
-constexpr std::size_t kStoreBytes = std::size_t{256} * 1024 * 1024;
-constexpr std::size_t kIntentsMost = 100'000;  // some 300 bytes each, in memory and on the disk
-constexpr TimeUs kLookEvery = 500'000;
-constexpr auto kRetryAfter = std::chrono::milliseconds(200);
+constexpr std::size_t kMaxStoreBytes = std::size_t{256} * 1024 * 1024;
+constexpr std::size_t kMaxIntents = 100'000;  // some 300 bytes each, in memory and on the disk
+constexpr TimeUs kCheckInterval = 500'000;
+constexpr auto kRetryDelay = std::chrono::milliseconds(200);
 
 std::string boot_id() {
   std::string out;
@@ -26,79 +26,79 @@
 }  // namespace
 
 Intents::Intents(Context& context, const std::string& folder, std::function<void(core::StartCall)> send)
-    : context_(context), send_(std::move(send)), store_(folder, kStoreBytes), book_([this] {
+    : context_(context), send_(std::move(send)), store_(folder, kMaxStoreBytes), key_book_([this] {
         const std::vector<store::Intent> found = store_.load();
-        found_ = found.size();
-        return recovery::KeyBook(boot_id(), monotonic_now(), found, kIntentsMost);
+        loaded_count_ = found.size();
+        return recovery::KeyBook(boot_id(), monotonic_now(), found, kMaxIntents);
       }()) {
   channel_ = std::make_unique<Channel>(context.reactor, wake_.duplicate(), *this);
   channel_->want_read(true);
-  thread_ = std::thread([this] { run(); });
+  thread_ = std::thread([this] { run_store_thread(); });
 }
 
 Intents::~Intents() {
   {
     const std::lock_guard lock(mutex_);
     stop_ = true;
-    changed_.notify_all();
+    work_available_.notify_all();
   }
   thread_.join();
 }
 
 void Intents::close() { channel_->close(); }
 
-core::KeyVerdict Intents::verdict(const std::string& identity) const {
-  if (book_.may_have_run(identity, monotonic_now())) return core::KeyVerdict::kMayHaveRun;
-  return failing_ || book_.full() ? core::KeyVerdict::kNoRoom : core::KeyVerdict::kNew;
+core::KeyVerdict Intents::key_status(const std::string& identity) const {
+  if (key_book_.may_have_run(identity, monotonic_now())) return core::KeyVerdict::kMayHaveRun;
+  return store_failing_ || key_book_.full() ? core::KeyVerdict::kNoRoom : core::KeyVerdict::kNew;
 }
 
-void Intents::hold(core::StartCall call) {
-  const store::Intent intent = book_.intend(call.identity, call.rest, monotonic_now());
-  held_.push_back({std::move(call), intent.serial});
+void Intents::send_when_stored(core::StartCall call) {
+  const store::Intent intent = key_book_.intend(call.identity, call.rest, monotonic_now());
+  waiting_.push_back({std::move(call), intent.serial});
   const std::lock_guard lock(mutex_);
-  put_.push_back(intent);
-  changed_.notify_all();
+  to_store_.push_back(intent);
+  work_available_.notify_all();
 }
 
 bool Intents::drop(core::CallId call) {
-  const auto it =
-      std::find_if(held_.begin(), held_.end(), [&](const Held& h) { return h.call.call == call; });
-  if (it == held_.end()) return false;
-  held_.erase(it);
+  const auto it = std::find_if(waiting_.begin(), waiting_.end(),
+                               [&](const WaitingCall& waiting) { return waiting.call.call == call; });
+  if (it == waiting_.end()) return false;
+  waiting_.erase(it);
   return true;
 }
 
 void Intents::check() {
   const TimeUs now = monotonic_now();
-  if (now < look_at_) return;
-  look_at_ = now + kLookEvery;
-  const std::vector<std::uint64_t> over = book_.over(now);
-  if (over.empty()) return;
+  if (now < check_at_) return;
+  check_at_ = now + kCheckInterval;
+  const std::vector<std::uint64_t> expired = key_book_.over(now);
+  if (expired.empty()) return;
   const std::lock_guard lock(mutex_);
-  erase_.insert(erase_.end(), over.begin(), over.end());
-  changed_.notify_all();
+  to_erase_.insert(to_erase_.end(), expired.begin(), expired.end());
+  work_available_.notify_all();
 }
 
 void Intents::on_readable() {
   wake_.heard();
-  std::vector<Outcome> outcomes;
-  std::string why;
+  std::vector<StoreResult> results;
+  std::string error;
   {
     const std::lock_guard lock(mutex_);
-    outcomes.swap(outcomes_);
-    why = why_;
+    results.swap(results_);
+    error = error_;
   }
-  if (failing_ != !why.empty()) {
-    failing_ = !why.empty();
-    context_.log.write(
-        failing_ ? log::Level::kError : log::Level::kInfo, log::Component::kCore,
-        failing_ ? "intents can't be stored, nothing keyed is sent: " + why : "intents are stored again");
+  if (store_failing_ != !error.empty()) {
+    store_failing_ = !error.empty();
+    context_.log.write(store_failing_ ? log::Level::kError : log::Level::kInfo, log::Component::kCore,
+                       store_failing_ ? "intents can't be stored, nothing keyed is sent: " + error
+                                      : "intents are stored again");
   }
-  for (const Outcome& outcome : outcomes) {
-    while (!held_.empty() && held_.front().serial <= outcome.up_to) {
-      core::StartCall call = std::move(held_.front().call);
-      held_.pop_front();
-      if (outcome.stored) {
+  for (const StoreResult& result : results) {
+    while (!waiting_.empty() && waiting_.front().serial <= result.last_serial) {
+      core::StartCall call = std::move(waiting_.front().call);
+      waiting_.pop_front();
+      if (result.stored) {
         send_(std::move(call));
       } else {  // it never left: another attempt, or a refusal, is harmless
         context_.post(core::CallEnded{call.call, core::ConnectionEnd::kNoIntent});
@@ -112,34 +112,34 @@
   context_.log.write(log::Level::kError, std::string("intents: ") + what);
 }
 
-void Intents::run() {
+void Intents::run_store_thread() {
   leave_signals_to_the_loop();
-  std::vector<std::uint64_t> erase;  // kept until they are erased
+  std::vector<std::uint64_t> to_erase;  // kept until they are erased
   while (true) {
-    std::vector<store::Intent> put;
+    std::vector<store::Intent> to_store;
     {
       std::unique_lock lock(mutex_);
-      changed_.wait(lock, [this] { return stop_ || !put_.empty() || !erase_.empty(); });
+      work_available_.wait(lock, [this] { return stop_ || !to_store_.empty() || !to_erase_.empty(); });
       if (stop_) return;
-      put.swap(put_);
-      erase.insert(erase.end(), erase_.begin(), erase_.end());
-      erase_.clear();
+      to_store.swap(to_store_);
+      to_erase.insert(to_erase.end(), to_erase_.begin(), to_erase_.end());
+      to_erase_.clear();
     }
-    std::string why;
+    std::string error;
     try {
-      store_.commit(put, erase);
-      erase.clear();
+      store_.commit(to_store, to_erase);
+      to_erase.clear();
     } catch (const std::exception& e) {
-      why = e.what();
+      error = e.what();
     }
     {
       std::unique_lock lock(mutex_);
-      why_ = why;
-      if (!put.empty()) outcomes_.push_back({put.back().serial, why.empty()});
+      error_ = error;
+      if (!to_store.empty()) results_.push_back({to_store.back().serial, error.empty()});
       wake_.ring();
-      if (!why.empty()) {  // tried again without a word, so that it is known when the disk is better
-        changed_.wait_for(lock, kRetryAfter, [this] { return stop_; });
-        if (erase_.empty()) erase_.push_back(0);
+      if (!error.empty()) {  // tried again without a word, so that it is known when the disk is better
+        work_available_.wait_for(lock, kRetryDelay, [this] { return stop_; });
+        if (to_erase_.empty()) to_erase_.push_back(0);
       }
     }
   }
--- a/src/net/intents.h
+++ b/src/net/intents.h
@@ -26,11 +26,11 @@
   Intents(Context& context, const std::string& folder, std::function<void(core::StartCall)> send);
   ~Intents() override;
 
-  core::KeyVerdict verdict(const std::string& identity) const;
-  void hold(core::StartCall call);
+  core::KeyVerdict key_status(const std::string& identity) const;
+  void send_when_stored(core::StartCall call);
   bool drop(core::CallId call);  // says nothing of its end; false: it is not held
   void check();                  // once a turn: forgets what is over
-  std::size_t found() const { return found_; }
+  std::size_t loaded_count() const { return loaded_count_; }
   void close();
 
   void on_readable() override;
@@ -39,33 +39,33 @@
   void on_failure(const char* what) override;
 
  private:
-  struct Held {
+  struct WaitingCall {
     core::StartCall call;
     std::uint64_t serial = 0;
   };
-  struct Outcome {  // of all serials since the one before
-    std::uint64_t up_to = 0;
+  struct StoreResult {  // of all serials since the one before
+    std::uint64_t last_serial = 0;
     bool stored = false;
   };
-  void run();
+  void run_store_thread();
 
   Context& context_;
   std::function<void(core::StartCall)> send_;
   store::IntentStore store_;
-  std::size_t found_ = 0;
-  recovery::KeyBook book_;
-  std::deque<Held> held_;  // in the order of their serials
-  TimeUs look_at_ = 0;
-  bool failing_ = false;
+  std::size_t loaded_count_ = 0;
+  recovery::KeyBook key_book_;
+  std::deque<WaitingCall> waiting_;  // in the order of their serials
+  TimeUs check_at_ = 0;
+  bool store_failing_ = false;
   Wake wake_;
   std::unique_ptr<Channel> channel_;
 
   std::mutex mutex_;
-  std::condition_variable changed_;
-  std::vector<store::Intent> put_;
-  std::vector<std::uint64_t> erase_;
-  std::vector<Outcome> outcomes_;
-  std::string why_;
+  std::condition_variable work_available_;
+  std::vector<store::Intent> to_store_;
+  std::vector<std::uint64_t> to_erase_;
+  std::vector<StoreResult> results_;
+  std::string error_;
   bool stop_ = false;
   std::thread thread_;
 };
--- a/src/net/keeper_thread.cpp
+++ b/src/net/keeper_thread.cpp
@@ -10,11 +10,11 @@
 namespace orchidgw::net {
 namespace {
 
-constexpr std::size_t kQueueMost = 16'384;  // messages that wait, each way
-constexpr TimeUs kRetryAfter = 1'000'000;
-constexpr TimeUs kStatusEvery = 200'000;
+constexpr std::size_t kMaxQueuedMessages = 16'384;  // messages that wait, each way
+constexpr TimeUs kRetryDelay = 1'000'000;
+constexpr TimeUs kStatusInterval = 200'000;
 constexpr TimeUs kUsPerMs = 1'000;
-constexpr TimeUs kElectionsPatient = 2;  // times an election's: for other keepers' greetings after a start
+constexpr TimeUs kHelloWaitElections = 2;  // times an election's: for other keepers' greetings after a start
 
 }  // namespace
 
@@ -22,12 +22,13 @@
                            const store::StoredOwner& self, const budget::Terms& own)
     : options_(options),
       self_(self),
-      floor_(options.id, options.voters, monotonic_now(), kElectionsPatient * options.election_ms * kUsPerMs),
+      vote_floor_(options.id, options.voters, monotonic_now(),
+                  kHelloWaitElections * options.election_ms * kUsPerMs),
       folder_(folder),
-      own_(own) {
+      own_terms_(own) {
   open_store();
-  role_ = std::make_unique<fleet::KeeperRole>(own_);
-  if (claim_->verdict() == Verdict::kMay) begin_keeper();
+  role_ = std::make_unique<fleet::KeeperRole>(own_terms_);
+  if (disk_claim_->verdict() == Verdict::kMay) start_keeper();
   thread_ = std::thread([this] { run(); });
 }
 
@@ -35,7 +36,7 @@
   {
     const std::lock_guard lock(mutex_);
     stop_ = true;
-    changed_.notify_all();
+    input_available_.notify_all();
   }
   if (thread_.joinable()) thread_.join();
   keeper_.reset();
@@ -43,9 +44,9 @@
 
 bool KeeperThread::post(Input input) {
   const std::lock_guard lock(mutex_);
-  if (inputs_.size() >= kQueueMost) return false;
+  if (inputs_.size() >= kMaxQueuedMessages) return false;
   inputs_.push_back(std::move(input));
-  changed_.notify_all();
+  input_available_.notify_all();
   return true;
 }
 
@@ -53,7 +54,7 @@
   wake_.heard();
   const std::lock_guard lock(mutex_);
   Output out = std::exchange(output_, {});
-  output_.standing = out.standing;  // it holds until it is another
+  output_.state = out.state;  // it holds until it is another
   return out;
 }
 
@@ -71,113 +72,115 @@
     const std::string fault = recovery::fault_of(*found.owner, self_);
     if (!fault.empty()) throw store::StoreError(folder_ + ": " + fault, false);
   }
-  claim_.emplace(self_, options_.voters, found);
+  disk_claim_.emplace(self_, options_.voters, found);
 }
 
 // Whose disk it is and that it has begun is stored with the first of the log.
-void KeeperThread::begin_keeper() {
-  claim_->begin();
-  store_->set_owner(claim_->owner());
+void KeeperThread::start_keeper() {
+  disk_claim_->begin();
+  store_->set_owner(disk_claim_->owner());
   keeper_ = std::make_unique<keeper::Keeper>(options_, *store_, *role_, monotonic_now());
 }
 
 // Where there is no keeper: on a disk that failed and may be better, or one that is empty, once it may begin.
 // False: not yet.
-bool KeeperThread::make_keeper() {
-  if (failed_ && monotonic_now() < retry_at_) return false;
+bool KeeperThread::try_start_keeper() {
+  if (store_failed_ && monotonic_now() < retry_at_) return false;
   try {
-    if (failed_) {
-      retry_at_ = monotonic_now() + kRetryAfter;
+    if (store_failed_) {
+      retry_at_ = monotonic_now() + kRetryDelay;
       keeper_.reset();
-      role_ = std::make_unique<fleet::KeeperRole>(own_);
+      role_ = std::make_unique<fleet::KeeperRole>(own_terms_);
       open_store();
     }
-    const Verdict verdict = claim_->verdict();
+    const Verdict verdict = disk_claim_->verdict();
     if (verdict == Verdict::kMay) {
-      begin_keeper();
-      notes_.push_back(failed_ ? "keeping again"
-                               : "an empty disk, and no other keeper knows it: a log is begun");
-      failed_ = false;
+      start_keeper();
+      log_lines_.push_back(store_failed_ ? "keeping again"
+                                         : "an empty disk, and no other keeper knows it: a log is begun");
+      store_failed_ = false;
       return true;
     }
-    if (verdict == Verdict::kMustNot && said_ != verdict)
-      notes_.push_back(
+    if (verdict == Verdict::kMustNot && reported_verdict_ != verdict)
+      log_lines_.push_back(
           "this keeper has begun before, on a disk that is lost: it must not vote on an empty one");
-    if (verdict == Verdict::kWait && said_ != verdict)
-      notes_.push_back("an empty disk: the word of every other keeper is waited for");
-    said_ = verdict;
+    if (verdict == Verdict::kWait && reported_verdict_ != verdict)
+      log_lines_.push_back("an empty disk: the word of every other keeper is waited for");
+    reported_verdict_ = verdict;
     return false;
   } catch (const std::exception& e) {
     keeper_.reset();
-    failed_ = true;
-    notes_.push_back(std::string("can't keep: ") + e.what());
+    store_failed_ = true;
+    log_lines_.push_back(std::string("can't keep: ") + e.what());
     return false;
   }
 }
 
-void KeeperThread::take_in(std::vector<Input>& inputs) {
+void KeeperThread::process_inputs(std::vector<Input>& inputs) {
   for (Input& input : inputs) {
     if (auto* terms = std::get_if<budget::Terms>(&input)) {
-      own_ = *terms;
-      role_->wants(own_);
-    } else if (auto* gone = std::get_if<LinkGone>(&input)) {
-      role_->link_gone(gone->link);
-    } else if (auto* greeted = std::get_if<Greeted>(&input)) {
-      if (claim_->told(greeted->by, greeted->begun)) store_claim();
-      floor_.told(greeted->by, greeted->at);
-      look_if_behind();
+      own_terms_ = *terms;
+      role_->wants(own_terms_);
+    } else if (auto* closed = std::get_if<LinkClosed>(&input)) {
+      role_->link_gone(closed->link);
+    } else if (auto* hello = std::get_if<HelloReceived>(&input)) {
+      if (disk_claim_->told(hello->by, hello->begun)) store_claim();
+      vote_floor_.told(hello->by, hello->log_standing);
+      check_if_behind();
     } else if (auto* message = std::get_if<fleet::LogMessage>(&input)) {
-      if (claim_->met(message->from)) store_claim();
-      if (keeper_ && floor_.lets(*message, monotonic_now())) keeper_->receive(*message);
-    } else if (auto* asked = std::get_if<Asked>(&input)) {
-      if (keeper_) role_->asked(*keeper_, asked->link, std::move(asked->ask));
-    } else if (auto* keys = std::get_if<KeysAsked>(&input)) {
-      if (keeper_) role_->asked(*keeper_, keys->link, std::move(keys->ask));
+      if (disk_claim_->met(message->from)) store_claim();
+      if (keeper_ && vote_floor_.lets(*message, monotonic_now())) keeper_->receive(*message);
+    } else if (auto* lease = std::get_if<LeaseRequest>(&input)) {
+      if (keeper_) role_->asked(*keeper_, lease->link, std::move(lease->ask));
+    } else if (auto* key_request = std::get_if<KeyRequest>(&input)) {
+      if (keeper_) role_->asked(*keeper_, key_request->link, std::move(key_request->ask));
     }
   }
   inputs.clear();
 }
 
 // A log that is behind is that of a keeper that was away, or of one on an old copy of its disk.
-void KeeperThread::look_if_behind() {
-  if (!keeper_ || !(keeper_->standing().last < floor_.agreed()) || std::exchange(behind_, true)) return;
-  notes_.push_back("this keeper's log is behind what was agreed on: it votes for nobody who lacks that");
+void KeeperThread::check_if_behind() {
+  if (!keeper_ || !(keeper_->standing().last < vote_floor_.agreed()) || std::exchange(reported_behind_, true))
+    return;
+  log_lines_.push_back("this keeper's log is behind what was agreed on: it votes for nobody who lacks that");
 }
 
 // With what follows from it, before any of that leaves.
 void KeeperThread::store_claim() {
-  if (keeper_) store_->set_owner(claim_->owner());
+  if (keeper_) store_->set_owner(disk_claim_->owner());
 }
 
-void KeeperThread::give_out() {
+void KeeperThread::publish_output() {
   std::vector<fleet::LogMessage> messages;
   if (keeper_) messages = keeper_->take_outbox();
   std::vector<fleet::KeeperRole::Reply> replies = role_->take_replies();
   const TimeUs now = monotonic_now();
-  std::erase_if(messages, [&](const fleet::LogMessage& one) { return !floor_.lets(one, now); });
+  std::erase_if(messages, [&](const fleet::LogMessage& one) { return !vote_floor_.lets(one, now); });
   std::string status;
-  if (now >= status_at_ && keeper_) {
-    status_at_ = now + kStatusEvery;
+  if (now >= next_status_at_ && keeper_) {
+    next_status_at_ = now + kStatusInterval;
     status = role_->status(*keeper_);
   }
-  Standing standing;
-  standing.keeps = keeper_ != nullptr;
-  standing.waits_for = claim_->verdict() == Verdict::kWait ? claim_->waits_for() : floor_.waits_for(now);
-  if (keeper_) standing.begun.assign(claim_->owner().begun.begin(), claim_->owner().begun.end());
-  if (keeper_) standing.at = keeper_->standing();
+  KeeperState state;
+  state.store_in_use = keeper_ != nullptr;
+  state.awaited_keepers =
+      disk_claim_->verdict() == Verdict::kWait ? disk_claim_->waits_for() : vote_floor_.waits_for(now);
+  if (keeper_) state.begun.assign(disk_claim_->owner().begun.begin(), disk_claim_->owner().begun.end());
+  if (keeper_) state.log_standing = keeper_->standing();
   const std::lock_guard lock(mutex_);
   if (!status.empty()) status_ = std::move(status);
-  const bool other = standing != output_.standing;
-  output_.standing = std::move(standing);
-  if (messages.empty() && replies.empty() && notes_.empty() && !other) return;
-  const auto move_in = [](auto& to, auto& from) {
+  const bool state_changed = state != output_.state;
+  output_.state = std::move(state);
+  if (messages.empty() && replies.empty() && log_lines_.empty() && !state_changed) return;
+  const auto append = [](auto& to, auto& from) {
     for (auto& one : from)
-      if (to.size() < kQueueMost) to.push_back(std::move(one));
+      if (to.size() < kMaxQueuedMessages) to.push_back(std::move(one));
     from.clear();
   };
-  move_in(output_.to_keepers, messages);
-  move_in(output_.replies, replies);
-  move_in(output_.notes, notes_);
+  append(output_.to_keepers, messages);
+  append(output_.replies, replies);
+  append(output_.log_lines, log_lines_);
   wake_.ring();
 }
 
@@ -188,17 +191,19 @@
     {
       std::unique_lock lock(mutex_);
       if (inputs_.empty() && !stop_) {
-        TimeUs due = keeper_ ? keeper_->next_tick() : failed_ ? retry_at_ : monotonic_now() + kRetryAfter;
+        TimeUs due = keeper_         ? keeper_->next_tick()
+                     : store_failed_ ? retry_at_
+                                     : monotonic_now() + kRetryDelay;
         if (const auto role = role_->next_due()) due = std::min(due, *role);
-        const TimeUs wait = std::clamp<TimeUs>(due - monotonic_now(), 0, kRetryAfter);
-        changed_.wait_for(lock, std::chrono::microseconds(wait),
-                          [this] { return stop_ || !inputs_.empty(); });
+        const TimeUs wait = std::clamp<TimeUs>(due - monotonic_now(), 0, kRetryDelay);
+        input_available_.wait_for(lock, std::chrono::microseconds(wait),
+                                  [this] { return stop_ || !inputs_.empty(); });
       }
       if (stop_) return;
       inputs.swap(inputs_);
     }
-    take_in(inputs);
-    if (!keeper_) make_keeper();
+    process_inputs(inputs);
+    if (!keeper_) try_start_keeper();
     if (keeper_) {
       // What this turn brought is made durable in one go, and what it led to in the next.
       keeper_->advance(monotonic_now());
@@ -206,19 +211,19 @@
       role_->run(monotonic_now(), *keeper_);
       keeper_->settle();
       role_->run(monotonic_now(), *keeper_);
-      if (keeper_->leads() != led_) {
-        led_ = !led_;
-        notes_.push_back(led_ ? "this keeper leads now" : "this keeper leads no more");
+      if (keeper_->leads() != was_leader_) {
+        was_leader_ = !was_leader_;
+        log_lines_.push_back(was_leader_ ? "this keeper leads now" : "this keeper leads no more");
       }
       if (!keeper_->failure().empty()) {
-        notes_.push_back("keeping stops: " + keeper_->failure());
+        log_lines_.push_back("keeping stops: " + keeper_->failure());
         keeper_.reset();
-        failed_ = true;
-        led_ = false;
-        retry_at_ = monotonic_now() + kRetryAfter;
+        store_failed_ = true;
+        was_leader_ = false;
+        retry_at_ = monotonic_now() + kRetryDelay;
       }
     }
-    give_out();
+    publish_output();
   }
 }
 
--- a/src/net/keeper_thread.h
+++ b/src/net/keeper_thread.h
@@ -20,36 +20,37 @@
 
 class KeeperThread {
  public:
-  struct Asked {
+  struct LeaseRequest {
     fleet::LinkId link = 0;
     budget::Ask ask;
   };
-  struct KeysAsked {
+  struct KeyRequest {
     fleet::LinkId link = 0;
     promises::KeyAsk ask;
   };
-  struct LinkGone {
+  struct LinkClosed {
     fleet::LinkId link = 0;
   };
-  struct Greeted {  // by another keeper
+  struct HelloReceived {  // by another keeper
     fleet::KeeperId by = 0;
     std::vector<fleet::KeeperId> begun;
-    fleet::LogStanding at;
+    fleet::LogStanding log_standing;
   };
-  using Input = std::variant<fleet::LogMessage, Asked, KeysAsked, LinkGone, Greeted, budget::Terms>;
+  using Input =
+      std::variant<fleet::LogMessage, LeaseRequest, KeyRequest, LinkClosed, HelloReceived, budget::Terms>;
 
-  struct Standing {  // of this keeper, as of now; see recovery::DiskClaim and VoteFloor
-    bool keeps = false;
-    std::vector<fleet::KeeperId> begun;      // whom it knows to have begun
-    std::vector<fleet::KeeperId> waits_for;  // whose greeting it needs before it may begin, or vote
-    fleet::LogStanding at;
-    bool operator==(const Standing&) const = default;
+  struct KeeperState {  // of this keeper, as of now; see recovery::DiskClaim and VoteFloor
+    bool store_in_use = false;
+    std::vector<fleet::KeeperId> begun;            // whom it knows to have begun
+    std::vector<fleet::KeeperId> awaited_keepers;  // whose greeting it needs before it may begin, or vote
+    fleet::LogStanding log_standing;
+    bool operator==(const KeeperState&) const = default;
   };
   struct Output {
     std::vector<fleet::LogMessage> to_keepers;
     std::vector<fleet::KeeperRole::Reply> replies;
-    std::vector<std::string> notes;  // for the log
-    Standing standing;
+    std::vector<std::string> log_lines;  // for the log
+    KeeperState state;
   };
 
   // Opens the store. Throws what names the folder and the reason.
@@ -69,34 +70,34 @@
   using Verdict = recovery::DiskClaim::Verdict;
 
   void run();
-  void take_in(std::vector<Input>& inputs);
-  void give_out();
+  void process_inputs(std::vector<Input>& inputs);
+  void publish_output();
   void open_store();
-  void begin_keeper();
+  void start_keeper();
   void store_claim();
-  bool make_keeper();
-  void look_if_behind();
+  bool try_start_keeper();
+  void check_if_behind();
 
   keeper::Options options_;
   store::StoredOwner self_;
-  std::optional<recovery::DiskClaim> claim_;
-  recovery::VoteFloor floor_;
-  bool behind_ = false;           // said so
-  Verdict said_ = Verdict::kMay;  // last in a note
-  bool failed_ = false;           // the store did
+  std::optional<recovery::DiskClaim> disk_claim_;
+  recovery::VoteFloor vote_floor_;
+  bool reported_behind_ = false;              // said so
+  Verdict reported_verdict_ = Verdict::kMay;  // last in a note
+  bool store_failed_ = false;                 // the store did
   std::string folder_;
   std::unique_ptr<store::LogStore> store_;
   std::unique_ptr<keeper::Keeper> keeper_;
   std::unique_ptr<fleet::KeeperRole> role_;
-  budget::Terms own_;
-  TimeUs retry_at_ = 0;   // of a keeper whose store failed
-  TimeUs status_at_ = 0;  // when the status is written next
-  std::vector<std::string> notes_;
-  bool led_ = false;
+  budget::Terms own_terms_;
+  TimeUs retry_at_ = 0;        // of a keeper whose store failed
+  TimeUs next_status_at_ = 0;  // when the status is written next
+  std::vector<std::string> log_lines_;
+  bool was_leader_ = false;
   Wake wake_;
 
   mutable std::mutex mutex_;
-  std::condition_variable changed_;
+  std::condition_variable input_available_;
   std::vector<Input> inputs_;
   Output output_;
   std::string status_;
--- a/src/net/peer_link.cpp
+++ b/src/net/peer_link.cpp
@@ -14,24 +14,24 @@
 namespace orchidgw::net {
 namespace {
 
-constexpr std::size_t kUnsentMost = 2 * thrift::kFleetFrameMost;
-constexpr std::size_t kReadAtOnce = 65536;
-constexpr int kReadsAtOnce = 8;  // lest one peer hold up the others
-constexpr unsigned kUnackedMs = 5'000;
+constexpr std::size_t kMaxUnsentBytes = 2 * thrift::kFleetFrameMost;
+constexpr std::size_t kReadBytes = 65536;
+constexpr int kMaxReadsPerEvent = 8;  // lest one peer hold up the others
+constexpr unsigned kUnackedTimeoutMs = 5'000;
 
 }  // namespace
 
-PeerLink::PeerLink(Context& context, int fd, bool up, std::uint64_t id, Events events)
+PeerLink::PeerLink(Context& context, int fd, bool connected, std::uint64_t id, Events events)
     : context_(context),
       id_(id),
       events_(std::move(events)),
       channel_(context.reactor, fd, *this),
-      up_(up),
+      connected_(connected),
       frames_(thrift::kFleetFrameMost),
       opened_at_(monotonic_now()) {
   // Guards against a peer whose machine vanished: without a word the connection would stay for hours.
-  setsockopt(fd, IPPROTO_TCP, TCP_USER_TIMEOUT, &kUnackedMs, sizeof kUnackedMs);
-  if (up_) {
+  setsockopt(fd, IPPROTO_TCP, TCP_USER_TIMEOUT, &kUnackedTimeoutMs, sizeof kUnackedTimeoutMs);
+  if (connected_) {
     channel_.want_read(true);
   } else {
     channel_.want_write(true);
@@ -41,62 +41,62 @@
 bool PeerLink::send(const fleet::Message& message) {
   if (!is_open()) return false;
   const std::string bytes = thrift::write_fleet(message);
-  if (out_.size() - written_ + bytes.size() > kUnsentMost) {
+  if (unsent_.size() - written_bytes_ + bytes.size() > kMaxUnsentBytes) {
     ++context_.counters.fleet_dropped;
     return false;
   }
   ++context_.counters.fleet_sent;
-  out_ += bytes;
-  if (up_) flush();
+  unsent_ += bytes;
+  if (connected_) flush();
   return true;
 }
 
-void PeerLink::came_up() {
+void PeerLink::on_connected() {
   core::ConnectionEnd end = core::ConnectionEnd::kUnreachable;
   if (!connect_came_up(channel_.fd(), end)) return close(core::name_of(end));
-  up_ = true;
+  connected_ = true;
   channel_.want_read(true);
   flush();
 }
 
 void PeerLink::flush() {
-  while (written_ < out_.size()) {
-    const Moved moved = write_some(channel_.fd(), std::string_view(out_).substr(written_));
-    if (moved.kind == Moved::Kind::kLater) break;
-    if (moved.kind != Moved::Kind::kBytes) return close("reset");
-    written_ += moved.bytes;
-    context_.counters.fleet_bytes_out += moved.bytes;
+  while (written_bytes_ < unsent_.size()) {
+    const Moved io_result = write_some(channel_.fd(), std::string_view(unsent_).substr(written_bytes_));
+    if (io_result.kind == Moved::Kind::kLater) break;
+    if (io_result.kind != Moved::Kind::kBytes) return close("reset");
+    written_bytes_ += io_result.bytes;
+    context_.counters.fleet_bytes_out += io_result.bytes;
   }
-  if (written_ == out_.size()) {
-    out_.clear();
-    written_ = 0;
-  } else if (written_ > out_.size() / 2) {
-    out_.erase(0, std::exchange(written_, 0));
+  if (written_bytes_ == unsent_.size()) {
+    unsent_.clear();
+    written_bytes_ = 0;
+  } else if (written_bytes_ > unsent_.size() / 2) {
+    unsent_.erase(0, std::exchange(written_bytes_, 0));
   }
-  channel_.want_write(!out_.empty());
+  channel_.want_write(!unsent_.empty());
 }
 
 void PeerLink::on_writable() {
-  if (!up_) return came_up();
+  if (!connected_) return on_connected();
   flush();
 }
 
 void PeerLink::on_error() {
-  if (!up_) return came_up();
+  if (!connected_) return on_connected();
   on_readable();
 }
 
 void PeerLink::on_readable() {
-  std::array<char, kReadAtOnce> bytes;
-  for (int i = 0; i < kReadsAtOnce && is_open(); ++i) {
-    const Moved moved = read_some(channel_.fd(), bytes);
-    if (moved.kind == Moved::Kind::kLater) return;
-    if (moved.kind != Moved::Kind::kBytes)
-      return close(moved.kind == Moved::Kind::kReset ? "reset" : "closed");
-    context_.counters.fleet_bytes_in += moved.bytes;
-    std::string_view rest(bytes.data(), moved.bytes);
-    while (!rest.empty() && is_open()) {
-      const auto result = frames_.feed(rest);
+  std::array<char, kReadBytes> bytes;
+  for (int i = 0; i < kMaxReadsPerEvent && is_open(); ++i) {
+    const Moved io_result = read_some(channel_.fd(), bytes);
+    if (io_result.kind == Moved::Kind::kLater) return;
+    if (io_result.kind != Moved::Kind::kBytes)
+      return close(io_result.kind == Moved::Kind::kReset ? "reset" : "closed");
+    context_.counters.fleet_bytes_in += io_result.bytes;
+    std::string_view unread(bytes.data(), io_result.bytes);
+    while (!unread.empty() && is_open()) {
+      const auto result = frames_.feed(unread);
       if (result == thrift::FrameReader::Result::kBroken) return close("a frame can't be read");
       if (result == thrift::FrameReader::Result::kMore) break;
       auto message = thrift::read_fleet(frames_.frame());
@@ -104,7 +104,7 @@
       ++context_.counters.fleet_received;
       events_.message(*this, std::move(*message));
     }
-    if (moved.bytes < bytes.size()) return;
+    if (io_result.bytes < bytes.size()) return;
   }
 }
 
@@ -113,8 +113,8 @@
 void PeerLink::close(const std::string& why) {
   if (!is_open()) return;
   channel_.close();
-  out_.clear();
-  written_ = 0;
+  unsent_.clear();
+  written_bytes_ = 0;
   events_.closed(*this, why);
 }
 
--- a/src/net/peer_link.h
+++ b/src/net/peer_link.h
@@ -22,7 +22,7 @@
   };
 
   // `up`: accepted, else it is still connecting.
-  PeerLink(Context& context, int fd, bool up, std::uint64_t id, Events events);
+  PeerLink(Context& context, int fd, bool connected, std::uint64_t id, Events events);
 
   std::uint64_t id() const { return id_; }
   bool is_open() const { return channel_.is_open(); }
@@ -40,17 +40,17 @@
   void on_failure(const char* what) override;
 
  private:
-  void came_up();
+  void on_connected();
   void flush();
 
   Context& context_;
   std::uint64_t id_;
   Events events_;
   Channel channel_;
-  bool up_;
+  bool connected_;
   thrift::FrameReader frames_;
-  std::string out_;
-  std::size_t written_ = 0;  // of `out_`
+  std::string unsent_;
+  std::size_t written_bytes_ = 0;  // of `out_`
   std::optional<fleet::Hello> peer_;
   TimeUs opened_at_;
 };
--- a/src/net/promises.h
+++ b/src/net/promises.h
@@ -18,27 +18,27 @@
   Promises(Context& context, promises::MemberKey self, std::function<void(core::StartCall)> send,
            std::function<void(const promises::KeyAsk&)> ask);
 
-  core::KeyVerdict verdict(const std::string& identity, TimeUs now) const;
-  void hold(core::StartCall call, TimeUs now);
+  core::KeyVerdict key_status(const std::string& identity, TimeUs now) const;
+  void send_when_promised(core::StartCall call, TimeUs now);
   bool drop(core::CallId call);  // says nothing of its end; false: it is not held
-  void free(core::FreeKey key);
+  void release_key(core::FreeKey key);
 
   void check(TimeUs now, TimeUs term);  // once a turn: asks, gives up
   std::optional<TimeUs> next_due() const { return holder_.next_due(); }
-  void told(TimeUs now, const promises::KeyTold& told);
+  void on_answer(TimeUs now, const promises::KeyTold& told);
   std::string status() const;
 
  private:
-  void act(const std::vector<promises::KeyHolder::Verdict>& verdicts);
+  void apply_verdicts(const std::vector<promises::KeyHolder::Verdict>& verdicts);
 
   Context& context_;
   std::function<void(core::StartCall)> send_;
   std::function<void(const promises::KeyAsk&)> ask_;
   promises::KeyHolder holder_;
-  std::map<core::CallId, core::StartCall> held_;
-  std::uint64_t given_ = 0;
-  std::uint64_t rest_ = 0;
-  std::uint64_t not_now_ = 0;
+  std::map<core::CallId, core::StartCall> waiting_;
+  std::uint64_t granted_ = 0;
+  std::uint64_t held_elsewhere_ = 0;
+  std::uint64_t unavailable_ = 0;
 };
 
 }  // namespace orchidgw::net
