--- a/src/net/answer_reader.h
+++ b/src/net/answer_reader.h
@@ -1,4 +1,4 @@
-// What the connections to engines and to the change log share in reading an HTTP answer.
+// Helpers for reading HTTP answers, shared by the connections to engines and to the change log.
 #pragma once
 
 #include <string_view>
@@ -8,7 +8,8 @@
 
 namespace orchidgw::net {
 
-// Takes an answer's bytes off the front of `bytes` and hands the pieces of its body to `take`. Never kBody.
+// Parses the answer's bytes at the front of `bytes`, removes them from it, and calls `on_body_piece` for each
+// piece of the body. Never returns kBody.
 template <typename OnBodyPiece>
 http::ResponseParser::Result parse_answer_bytes(http::ResponseParser& parser, std::string_view& bytes,
                                                 OnBodyPiece on_body_piece) {
@@ -21,7 +22,8 @@
   return result;
 }
 
-// How a connection has ended whose call was written whole and whose answer is not.
+// How a connection ended whose call was written completely and whose answer is incomplete. `reset`: the peer
+// reset it, else it closed it.
 core::ConnectionEnd end_with_incomplete_answer(const http::ResponseParser& parser, bool reset);
 
 }  // namespace orchidgw::net
--- a/src/net/change_log.cpp
+++ b/src/net/change_log.cpp
@@ -18,12 +18,13 @@
 constexpr TimeUs kMs = 1000;
 constexpr TimeUs kMaxPollTimeout = 500 * kMs, kMinPollTimeout = 100 * kMs;
 constexpr TimeUs kMaxAnswerGrace = 500 * kMs, kMinAnswerGrace = 50 * kMs;
-constexpr TimeUs kMaxBehindTime = 10'000 * kMs;  // what a log has to tell is in it 7 s later at the latest
+constexpr TimeUs kMaxBehindTime = 10'000 * kMs;  // an event reaches the log within 7 s
 constexpr TimeUs kInitialBackoff = 50 * kMs, kMaxBackoff = 250 * kMs;
 
-// A watch falls silent without a sign, and what the log has to tell counts as told meanwhile: hold, grace and
-// the first step back together stay below the time in which a drain must be heeded, with a part for the way.
-// Guards against sends to engines whose drain the log had for longer, where that time is short.
+// `tenths` tenths of the drain grace, within bounds. A watch can stop answering without an error, and the
+// drain grace counts from the moment the log has a drain: poll timeout, answer grace and the first backoff
+// together stay below the drain grace, which leaves a part for the network. Guards against queries sent to
+// engines whose drain grace is over, where that time is short.
 TimeUs fraction_of(TimeUs grace, TimeUs tenths, TimeUs minimum, TimeUs maximum) {
   return grace <= 0 ? maximum : std::clamp(grace * tenths / 10, minimum, maximum);
 }
@@ -49,7 +50,7 @@
 void ChangeLog::post_changes(const config::FleetChanges& changes, bool is_initial_list) {
   bool first = is_initial_list;
   for (const auto& change : changes.changes) {
-    // Repeated events do no harm: a number that has been seen is not told again.
+    // Events that the log repeats are skipped by their number.
     if (change.number <= last_number_) continue;
     last_number_ = change.number;
     core::EnginesChanged event;
@@ -62,7 +63,8 @@
   if (changes.last > last_number_) last_number_ = changes.last;
 }
 
-// The only place that reads the wall clock for a decision: published starts become instants here, once each.
+// The only place where the wall clock affects a decision: each published start time (wall clock) is converted
+// once to the monotonic clock.
 void ChangeLog::set_start_times(std::vector<core::EngineListing>& engines, bool full_list) {
   std::set<EngineId> listed;
   for (core::EngineListing& listing : engines) {
@@ -83,8 +85,8 @@
   end(state_ == State::kConnecting ? ConnectionEnd::kNotUpInTime : ConnectionEnd::kSilent);
 }
 
-// Guards against waiting on the old address: it keeps its connections open for a while and tells nothing
-// more.
+// Guards against waiting on the old address, which keeps its connections open for a while without sending any
+// further events.
 void ChangeLog::change_address(core::Address address, const config::FleetChanges& known) {
   end(ConnectionEnd::kMoved);
   address_ = std::move(address);
@@ -142,7 +144,7 @@
   if (!read_bytes({free_space.data(), io_result.bytes})) end(ConnectionEnd::kUnreadable);
 }
 
-// False if what came can't be read.
+// False if the bytes are not a valid answer.
 bool ChangeLog::read_bytes(std::string_view bytes) {
   using Result = http::ResponseParser::Result;
   const Result result =
@@ -151,10 +153,10 @@
   return bytes.empty() && on_complete_answer();
 }
 
-// Guards against a log that lost its events and numbers them anew: asked for what comes after a number that
-// it will not reach for long, it tells nothing. It is asked for the whole list once it was behind for longer
-// than a log that is merely late: that one must not take back what the configuration has told since. The last
-// good list stays till then.
+// True if the log has lost its events and restarted its numbering; the next poll then requests the full list.
+// Guards against waiting for events after a number that such a log will not reach for a long time. The log
+// has to be behind for longer than one that is merely late, whose older list must not replace what the
+// configuration has told since. The last good list stays in use until then.
 bool ChangeLog::detect_log_reset(const config::FleetChanges& changes) {
   if (changes.last == 0 || changes.last >= last_number_) {
     behind_since_ = 0;
@@ -163,7 +165,7 @@
   const TimeUs now = monotonic_now();
   if (behind_since_ == 0) behind_since_ = now;
   if (now - behind_since_ < kMaxBehindTime) return false;
-  context_.log.write(log::Level::kWarn, "change log: it is behind what it told before, listed anew");
+  context_.log.write(log::Level::kWarn, "change log: its event numbers went back, requesting the full list");
   behind_since_ = 0;
   last_number_ = 0;
   return true;
@@ -207,9 +209,9 @@
   set_due(monotonic_now() + next_backoff());
 }
 
-// Exponential, with jitter. Guards against a fleet that lost its log at one moment and calls it again in
-// step, twenty times a second each for as long as it is down; the most stays short, as its return brings
-// drains.
+// Exponential, with jitter. Guards against controllers that all lost the log at the same moment and call it
+// in step, twenty times a second each, for as long as it is down. The maximum stays short because the log may
+// have drains to report when it is back.
 TimeUs ChangeLog::next_backoff() {
   last_backoff_ = last_backoff_ == 0 ? kInitialBackoff : std::min(2 * last_backoff_, max_backoff_);
   return std::uniform_int_distribution<TimeUs>(last_backoff_ / 2, last_backoff_)(jitter_random_);
--- a/src/net/change_log.h
+++ b/src/net/change_log.h
@@ -1,4 +1,5 @@
-// Follows the change log (list and watch): always one question out, its events in order to the core.
+// Client of the change log (list and watch). Keeps one long poll in flight and posts the log's events to the
+// core in order.
 #pragma once
 
 #include <cstdint>
@@ -19,22 +20,22 @@
 namespace orchidgw::net {
 
 struct ChangeLogOptions {
-  std::size_t answer_bytes = 0;  // of one answer
+  std::size_t answer_bytes = 0;  // largest answer that is accepted
   TimeUs connect_timeout = 0;
-  Rules rules;             // drain grace: after the log has a drain, nothing new may go to that engine
-  std::uint64_t seed = 0;  // of the jitter
+  Rules rules;  // drain_grace: time after which an engine whose drain is in the log may get no new queries
+  std::uint64_t seed = 0;  // of the backoff's jitter
 };
 
 class ChangeLog final : public ChannelHandler {
  public:
-  // `known`: the events of the start, which are told to the core at once.
+  // `known`: the events from the configuration, which are posted to the core at once.
   ChangeLog(Context& context, core::Address address, const config::FleetChanges& known,
             ChangeLogOptions options);
 
-  void check(TimeUs now);  // time limits, the next try
+  void check(TimeUs now);  // enforces time limits and reconnects; to be called when `next_due` is reached
   TimeUs next_due() const { return due_ + context_.lost; }
-  // The log has moved: asked there from now on, with the numbering that it has. `known`: what is told with
-  // it.
+  // Reconnects to the log at `address`, going on from the last event number. `known`: events from the
+  // reloaded configuration, posted to the core at once.
   void change_address(core::Address address, const config::FleetChanges& known);
   void close() { end(core::ConnectionEnd::kShutDown); }
 
@@ -48,7 +49,7 @@
   void connect(TimeUs now);
   void send_watch_request(TimeUs now);
   void flush();
-  bool read_bytes(std::string_view bytes);
+  bool read_bytes(std::string_view bytes);  // false: the answer is invalid
   bool on_complete_answer();
   bool detect_log_reset(const config::FleetChanges& changes);
   void post_changes(const config::FleetChanges& changes, bool is_initial_list);
@@ -60,20 +61,20 @@
   Context& context_;
   core::Address address_;
   TimeUs connect_timeout_;
-  TimeUs poll_timeout_;  // the log answers a question after so long, news or not
-  TimeUs answer_grace_;  // an answer so long past its hold doesn't come any more: the watch is silent
+  TimeUs poll_timeout_;  // the log answers a poll after this time even if it has no new events
+  TimeUs answer_grace_;  // an answer this long after the poll timeout counts as never coming: kSilent
   TimeUs max_backoff_;
-  TimeUs behind_since_ = 0;  // its answers end before what is known; 0: they don't
-  TimeUs last_backoff_ = 0;  // the last one, before its jitter; 0: the last question was answered
+  TimeUs behind_since_ = 0;  // since when the log's last number is below ours; 0: it is not
+  TimeUs last_backoff_ = 0;  // before jitter; 0: the last poll was answered
   std::minstd_rand jitter_random_;
   EngineStarts starts_;
-  std::uint64_t last_number_ = 0;
+  std::uint64_t last_number_ = 0;  // of the last event that was posted
   State state_ = State::kClosed;
   std::unique_ptr<Channel> channel_;
   http::ResponseParser parser_;
   BufferChain unsent_;
   BufferChain body_;
-  TimeUs due_ = 0;  // without the time that this process lost, as on connections to engines
+  TimeUs due_ = 0;  // excludes `Context::lost`, the time in which this process was stalled
 };
 
 }  // namespace orchidgw::net
--- a/src/net/controller.cpp
+++ b/src/net/controller.cpp
@@ -377,7 +377,7 @@
   const auto count = [&out](const char* name, std::uint64_t value) {
     out += std::string(name) + " " + std::to_string(value) + "\n";
   };
-  count("taken", counters_.reserved);
+  count("taken", counters_.taken);
   count("served", counters_.served);
   count("refused", counters_.refused);
   count("shed", counters_.refusals[static_cast<std::size_t>(Reason::kShed)]);
--- a/src/net/fleet_port.cpp
+++ b/src/net/fleet_port.cpp
@@ -126,7 +126,7 @@
 void FleetPort::add_begun_keeper(fleet::KeeperId begun) {
   const bool is_configured = std::any_of(config_.keepers.begin(), config_.keepers.end(),
                                          [begun](const fleet::KeeperPlace& one) { return one.id == begun; });
-  const bool known = std::find(self_.begun.begin(), self_.connecting.end(), begun) != self_.connecting.end();
+  const bool known = std::find(self_.begun.begin(), self_.begun.end(), begun) != self_.begun.end();
   if (is_configured && !known) self_.begun.push_back(begun);
 }
 
--- a/tests/integration/engine_client_test.cpp
+++ b/tests/integration/engine_client_test.cpp
@@ -41,7 +41,7 @@
     call.statement = statement;
     call.stop_at = net::monotonic_now() + 60'000'000;
     call.answer_by = call.stop_at;
-    client.start(std::move(call));
+    client.send(std::move(call));
   }
 
   // Runs the loop until the condition holds; each turn looks again.
