--- a/src/net/controller.cpp
+++ b/src/net/controller.cpp
@@ -14,18 +14,18 @@
 namespace {
 
 constexpr std::int64_t kBytesPerMb = 1024L * 1024;
-// Of the memory, one part in so many is for (docs/architecture.md adds them up):
-constexpr std::int64_t kPoolDivisor = 4;          // buffers; what was begun may take half as much again
-constexpr std::int64_t kStatementsDivisor = 16;   // statements of open queries, and as much for their copies
-constexpr std::int64_t kFramesDivisor = 16;       // frames that are not whole
-constexpr std::int64_t kChangesDivisor = 64;      // an answer of the change log; reading takes ten times that
-constexpr std::size_t kClientsDivisor = 3;        // of the descriptors: clients hold a third at the most
-constexpr std::size_t kReservedDescriptors = 32;  // listener, change log, signals, poll, standard ones
+// Shares of the memory: one part in so many is for (docs/architecture.md adds them up)
+constexpr std::int64_t kPoolDivisor = 4;  // buffers; answers that have begun may take half as much again
+constexpr std::int64_t kStatementsDivisor = 16;  // statements of open queries, and the same for their copies
+constexpr std::int64_t kFramesDivisor = 16;      // incomplete frames
+constexpr std::int64_t kChangesDivisor = 64;  // an answer of the change log; parsing it takes ten times that
+constexpr std::size_t kClientsDivisor = 3;    // of the descriptors: clients hold a third at most
+constexpr std::size_t kReservedDescriptors = 32;  // listener, change log, signals, epoll, standard streams
 constexpr TimeUs kMaxWait = 1'000'000;
 constexpr TimeUs kReloadRetryDelay = 200'000;
 constexpr TimeUs kAcceptInterval = 10'000;
 constexpr TimeUs kAcceptTimeLimit =
-    2'000'000;  // who waits in the system's line till then for a place is given up
+    2'000'000;  // in a shutdown: clients still in the backlog then are dropped
 
 std::size_t memory_part(const config::ControllerConfig& config, std::int64_t divisor) {
   return static_cast<std::size_t>(config.memory_mb * kBytesPerMb / divisor);
@@ -51,7 +51,7 @@
   return limits;
 }
 
-// Of connections to other controllers: a keeper hears all members, each member each keeper.
+// The most connections to other controllers: all members connect to a keeper, and each member to each keeper.
 std::size_t max_fleet_connections(const std::optional<fleet::FleetConfig>& fleet, const std::string& name) {
   if (!fleet) return 0;
   const std::size_t keepers = fleet->keepers.size();
@@ -98,8 +98,9 @@
       ticker_(reactor_),
       created_at_(monotonic_now()) {}
 
-// Guards against running out of memory: who is not read keeps what he has to say. What was read in this turn
-// counts too, lest all clients together pass the bound in one.
+// Guards against running out of memory: reading from clients stops, so that they hold back their data.
+// Requests that were read in this turn count too, else all clients together could exceed the limit within one
+// turn.
 bool Controller::low_on_memory() const {
   return pool_.low() || reducer_.held_bytes() + events_.statement_bytes() >= max_statement_bytes_;
 }
@@ -119,7 +120,8 @@
   events_.push(std::move(event), monotonic_now());
 }
 
-// Acts on all that was read, then on what is due; says how long the loop may wait.
+// One turn of the event loop: processes the events that were read, then timers that are due. Returns how long
+// the loop may wait (us).
 TimeUs Controller::turn() {
   const TimeUs now = monotonic_now();
   ++counters_.turns;
@@ -142,7 +144,7 @@
     log_.write(log::Level::kError, std::string("turn: ") + e.what());
   }
   count_descriptors();
-  log_.stream().flush();  // what nobody read so far
+  log_.stream().flush();  // log lines that the reader of the output has not taken yet
   const TimeUs end = monotonic_now();
   counters_.turn.add(end - now);
   const TimeUs wait = time_to_wait(end);
@@ -159,16 +161,17 @@
              {{"ms", step / kUsPerMs}});
 }
 
-// Guards against acting on what was known before this process stood still: the poll calls a turn before what
-// it found is read, and timers that came due meanwhile sent to engines whose drain lay unread; a watch whose
-// answer lay unread was taken for silent.
+// Leaves this turn's work to the next turn, which comes once the sockets were read. Guards against acting on
+// outdated state after this process was stalled: epoll calls a turn before the ready sockets are read, and
+// timers that became due meanwhile sent queries to engines whose drain was unread; a watch whose answer was
+// unread was taken for silent.
 TimeUs Controller::defer_turn() {
   ++counters_.late_turns;
   attention_.loop_waits(0);
   return 0;
 }
 
-// Timers fire once a turn: one that is set for at once must not hold up the requests.
+// Timers fire once a turn: one that is always due at once must not hold up the requests.
 void Controller::process_events(TimeUs now) {
   reducer_.set_buffers_used(static_cast<double>(counters_.buffers.now) / static_cast<double>(max_buffers_));
   process_non_requests(now);
@@ -182,7 +185,7 @@
   }
 }
 
-// Effects may post again (a dropped call has ended): the order is looked at anew each time.
+// Effects may post new events (a dropped call has ended), so the queue is asked for its next event each time.
 void Controller::process_non_requests(TimeUs now) {
   while (auto event = events_.next_news()) process_event(now, std::move(*event));
 }
@@ -198,8 +201,8 @@
   if (fleet_ && list_changes) fleet_->set_engine_cores(reducer_.cores());
 }
 
-// Guards against sends on a lease that ended while this process waited or was stopped: what may be used is
-// looked at before each event, by the time of that moment.
+// Called before each event, with the time of that moment: guards against queries sent under a lease that
+// ended while this process waited or was stopped.
 void Controller::apply_fleet_shares() {
   auto shares = fleet_->changed_shares(monotonic_now());
   if (shares) apply(monotonic_now(), core::FleetShared{std::move(shares->module), std::move(shares->limits)});
@@ -210,7 +213,7 @@
   TimeUs cost = request.request->cost_estimate;
   for (const ClassSettings& c : settings_.classes)
     if (cost <= 0 && c.name == request.request->class_name)
-      cost = c.aim / 2;  // as the module takes it unlearned
+      cost = c.aim / 2;  // what the module assumes until it has learned the cost
   fleet_->record_query(monotonic_now(), request.request->tenant, cost);
 }
 
@@ -218,7 +221,7 @@
   FleetMemberOptions options;
   options.name = configuration.controller.name;
   options.incarnation =
-      static_cast<std::uint64_t>(wall_now().unix_us);  // orders the starts of this name, nothing else
+      static_cast<std::uint64_t>(wall_now().unix_us);  // only orders the starts of controllers of this name
   options.seed = configuration.controller.seed ^ options.incarnation;
   options.listener = listener;
   const auto make_member = [&] {
@@ -230,11 +233,11 @@
   try {
     fleet_ = make_member();
   } catch (const store::StoreUnavailable&) {
-    throw;  // the start is tried again: nothing is wrong with what is stored
+    throw;  // the stored data is not at fault: the start is retried
   } catch (const store::StoreError& e) {
     if (!configuration.fleet->careful) throw;
-    // It greets as no keeper: guards against another one on an empty disk that takes its word for "nobody
-    // knows you", which a store that can't be read does not tell.
+    // It does not say in its Hello that it is a keeper: guards against another keeper with an empty disk that
+    // takes the Hello as "I know of no log of yours". A store that can't be read can't tell that.
     log_.write(log::Level::kError, log::Component::kFleet,
                std::string("starts careful, as a member that keeps nothing: ") + e.what());
     options.runs_keeper = false;
@@ -258,13 +261,14 @@
   return status == core::KeyVerdict::kNew && promises() != nullptr ? fleet_->key_status(identity) : status;
 }
 
-// On the own disk last: what the fleet turned away is not rested for here.
+// Stores the intent on the own disk, if intents are stored, and sends the call. Comes after the fleet's
+// promise, so that no key is held here for a call that the fleet refused.
 void Controller::send_after_intent(core::StartCall call) {
   if (intents_) return intents_->send_when_stored(std::move(call));
   engines_.send(std::move(call));
 }
 
-// False: neither a promise nor an intent holds it.
+// False: the call waits for neither a promise nor an intent.
 bool Controller::drop_waiting_call(core::CallId call, core::ConnectionEnd end) {
   const bool held = (promises() != nullptr && promises()->drop(call)) || (intents_ && intents_->drop(call));
   if (held) post(core::CallEnded{call, end});
@@ -284,7 +288,7 @@
   for (core::SideEffect& effect : effects) {
     try {
       run_effect(effect);
-    } catch (const std::exception& e) {  // one that fails must not take the others with it
+    } catch (const std::exception& e) {  // a failed effect must not stop the others
       log_.write(log::Level::kError, std::string("effect: ") + e.what());
     }
   }
@@ -333,8 +337,8 @@
   begin_shutdown();
 }
 
-// The earliest moment in which a signal that is read now can have been sent: nothing tells it of one that
-// came while the program started or stood still.
+// The earliest time at which a signal that is read now can have been sent. The time of a signal that came
+// while the program started or was stalled is not known.
 TimeUs Controller::earliest_signal_time() const {
   const bool first_turn = counters_.turns <= 1;
   return first_turn ? created_at_ : monotonic_now() - attention_.late();
@@ -342,7 +346,7 @@
 
 void Controller::begin_shutdown() {
   if (shutdown_) return;
-  log_.write(log::Level::kInfo, "asked to stop: serving what still comes");
+  log_.write(log::Level::kInfo, "asked to stop: still serving requests that arrive");
   shutdown_ = shutdown_schedule(settings_.classes, earliest_signal_time());
   apply(monotonic_now(), core::ShutdownBegun{shutdown_->answer_by});
   reactor_.hurry();
@@ -369,7 +373,7 @@
   if (command->kind == admin::AdminCommand::Kind::kLevelSet) {
     if (!reducer_.levels().has_level(command->level)) return "error: no level of that name\n";
     post(core::LevelSet{command->level, now + command->hold});
-    log_.write(log::Level::kWarn, log::Component::kLimits, "level set by hand",
+    log_.write(log::Level::kWarn, log::Component::kLimits, "level overridden by an operator",
                {{"level", command->level}, {"seconds", command->hold / 1'000'000}});
     return "set\n";
   }
@@ -386,8 +390,8 @@
   return out;
 }
 
-// Reads the configuration and the operators' file anew. What is wrong with either is said, a line each, and
-// both old ones stay.
+// Reads the configuration and the operators' file again. Logs each fault on a line of its own; if there is
+// any, both old versions stay in force.
 void Controller::reload() {
   ++counters_.reloads;
   reload_retry_at_.reset();
@@ -397,7 +401,7 @@
     ++counters_.reloads_failed;
     log_.write(log::Level::kError, log::Component::kConfig,
                std::string("configuration not taken over: ") + e.what());
-    // Guards against a change log that has moved and is never followed: the files are good.
+    // The files may be good. Guards against a change log whose new address is never read.
     if (e.may_pass()) reload_retry_at_ = monotonic_now() + kReloadRetryDelay;
   } catch (const configuration::ConfigurationError& e) {
     ++counters_.reloads_failed;
@@ -411,7 +415,7 @@
   reactor_.hurry();
 }
 
-// All of it between two events: no query meets a part of the old and a part of the new.
+// Applies all of it between two events, so that no query sees a mix of the old and the new configuration.
 void Controller::apply_configuration(const configuration::Configuration& loaded) {
   change_log_.change_address(loaded.controller.change_log, loaded.controller.known);
   log_.choose(loaded.log);
@@ -434,8 +438,8 @@
              {{"routes", routes}, {"levels", count}});
 }
 
-// Ends when nothing is open and nothing can still arrive, and at the end of the schedule in any case: guards
-// against the kill, which takes with it what was read and has no answer.
+// Stops the process when nothing is open and nothing can still arrive, and at the end of the schedule in any
+// case. Guards against being killed, by which requests that were read would get no answer.
 void Controller::stop_if_done(TimeUs now) {
   if (!shutdown_ || now < shutdown_->close_from) return;
   front_door_.begin_shutdown(*shutdown_);
@@ -446,12 +450,12 @@
   }
   const bool nothing_open = events_.empty() && reducer_.queries() == 0 && front_door_.empty();
   if (!nothing_open && now < shutdown_->answer_by) return;
-  // Parts go back before the process does: others need not wait for the end of a lease.
+  // Returns the budget shares before the process ends, so that others need not wait for the end of its lease.
   if (fleet_) fleet_->leave(monotonic_now());
   const bool fleet_left = !fleet_ || fleet_->left(monotonic_now());
   if ((!nothing_open || !fleet_left) && now < shutdown_->end_by) return;
   log_.write(log::Level::kInfo,
-             nothing_open ? "nothing is open any more: stopping" : "the time is over: stopping");
+             nothing_open ? "no open queries or connections: stopping" : "shutdown time is over: stopping");
   front_door_.close_all();
   engines_.close_all();
   change_log_.close();
@@ -462,7 +466,7 @@
   reactor_.stop();
 }
 
-// Those of connections, and what is always open.
+// Descriptors of connections, plus those that are always open.
 void Controller::count_descriptors() {
   constexpr std::uint64_t kFixedDescriptors =
       8;  // standard ones, listener, poll, signals, ticker, change log
--- a/src/net/controller.h
+++ b/src/net/controller.h
@@ -1,4 +1,5 @@
-// The real controller: feeds the reducer with what the sockets report, in its order, and runs the effects.
+// The controller as a process: feeds the reducer with the events that the sockets report, in the event
+// queue's order, and runs the effects.
 #pragma once
 
 #include <functional>
@@ -32,25 +33,27 @@
 
 class Controller {
  public:
-  // What a reload puts in force: read anew and checked against the settings that are in force.
+  // Reads the configuration again for a reload and checks it against the settings in force (`running`).
+  // Throws if anything is wrong.
   using Reload = std::function<configuration::Configuration(const Settings& running)>;
 
-  // `listener`: a bound descriptor; clients can connect once `net::listen_on` was called for it. `reload`
-  // throws where anything is wrong.
+  // `listener`: a bound descriptor; clients can connect once `net::listen_on` was called for it.
   Controller(const configuration::Configuration& configuration, Descriptor listener, log::Logger& log,
              Reload reload);
 
-  // Throws std::runtime_error where it can't be opened.
+  // Opens the administration socket at `path`. Throws std::runtime_error if that fails.
   void open_admin(const std::string& path);
 
-  // Joins the fleet that the configuration names. `listener`: of a keeper, owned from here on; else -1.
-  // Throws what names the folder of a keeper's log and the reason.
+  // Joins the configuration's fleet, which it has to have. `listener`: a keeper's listening socket, of which
+  // this takes ownership, or -1. Throws an exception that names the folder of the keeper's log and the
+  // reason.
   void join_fleet(const configuration::Configuration& configuration, int listener);
 
-  // Keeps intents of what must not run twice in that folder. Throws what names it and the reason.
+  // From now on the intent to send a query that must not run twice is stored in `folder` before it is sent.
+  // Throws an exception that names the folder and the reason.
   void open_intents(const std::string& folder);
 
-  void run();  // until a planned restart is over
+  void run();  // returns when a graceful shutdown is complete
 
  private:
   Controller(const config::ControllerConfig& config, std::size_t fleet_descriptors, Descriptor listener,
@@ -103,13 +106,13 @@
   Signals signals_;
   LoopTicker ticker_;
   std::unique_ptr<AdminSocket> admin_;  // null: off
-  std::unique_ptr<FleetMember> fleet_;  // null: alone
-  std::unique_ptr<Intents> intents_;    // null: none are kept
+  std::unique_ptr<FleetMember> fleet_;  // null: not in a fleet
+  std::unique_ptr<Intents> intents_;    // null: intents are not stored
   WallClockWatch wall_clock_;
-  std::optional<TimeUs>
-      reload_retry_at_;  // a file could not be read for want of something that may come back
+  // Set when a reload failed because a system resource was missing, which may be temporary.
+  std::optional<TimeUs> reload_retry_at_;
   TimeUs created_at_;
-  std::optional<ShutdownSchedule> shutdown_;  // once it was asked for
+  std::optional<ShutdownSchedule> shutdown_;  // set once shutdown was requested
   bool listening_ = true;
 };
 
