--- a/src/net/engine_client.cpp
+++ b/src/net/engine_client.cpp
@@ -12,7 +12,7 @@
 using core::CallKind;
 using core::ConnectionEnd;
 
-constexpr std::size_t kReservedDivisor = 8;  // one part in so many is not for new sends
+constexpr std::size_t kReservedDivisor = 8;  // starts may not use one in so many connections
 
 }  // namespace
 
@@ -58,7 +58,7 @@
   return true;
 }
 
-// True also if the connection failed at once: the call has ended then.
+// True also if connecting failed at once; the call has ended then. False if no connection may be opened now.
 bool EngineClient::send_on_new_connection(core::StartCall& call) {
   if (!may_connect(queue_of(call.kind))) return false;
   const Connecting connecting = begin_connect(call.address);
@@ -119,7 +119,8 @@
 
 void EngineClient::on_answer(EngineConnection& connection, core::CallId call, core::CallAnswer answer) {
   call_connections_.erase(call);
-  // Guards against a connection that nobody gives a call or closes, where two of an attempt were out at once.
+  // Guards against a leaked connection that is neither used nor closed, where two calls of an attempt were in
+  // flight at once.
   if (connection.idle() && idle_connections_.count(connection.attempt()) > 0)
     connection.close(ConnectionEnd::kAttemptOver);
   if (connection.idle()) idle_connections_[connection.attempt()] = connection.id();
@@ -147,7 +148,7 @@
   context_.post(core::CallEnded{call, end});
 }
 
-// One timer a connection, not one a call: guards against timers that gather on busy connections.
+// One timer per connection instead of one per call: guards against timers that pile up on busy connections.
 void EngineClient::schedule_check(EngineConnection& connection) {
   const TimeUs due = connection.due();
   if (connection.next_check != 0 && connection.next_check <= due) return;
--- a/src/net/engine_client.h
+++ b/src/net/engine_client.h
@@ -1,4 +1,4 @@
-// All connections to engines, within their part of the descriptors: calls in, their ends out as events.
+// All connections to engines, up to a limit of connections. Takes calls and posts how each ended as an event.
 #pragma once
 
 #include <array>
@@ -16,7 +16,7 @@
 namespace orchidgw::net {
 
 struct EngineClientLimits {
-  std::size_t connections = 1;  // at most
+  std::size_t connections = 1;  // the most that may be open
   TimeUs connect_timeout = 0;
 };
 
@@ -24,11 +24,14 @@
  public:
   EngineClient(Context& context, EngineClientLimits limits);
 
+  // Sends the call, or queues it while no connection is to be had. Each call ends with exactly one
+  // CallAnswered or CallEnded event.
   void send(core::StartCall call);
-  void drop(core::CallId call);
-  void withdraw(core::CallId call);                     // unless its first byte is on its way
-  void close_idle_connection(core::AttemptId attempt);  // the idle one that it has
-  void check(TimeUs now);                               // time limits, calls that wait
+  void drop(core::CallId call);  // ends the call; closes its connection if it has one
+  // Ends the call if none of its bytes were written; else has no effect.
+  void withdraw(core::CallId call);
+  void close_idle_connection(core::AttemptId attempt);  // closes the attempt's connection if it is idle
+  void check(TimeUs now);  // enforces time limits and sends waiting calls; once a turn
   std::optional<TimeUs> next_due() const { return timers_.next_due(); }
   std::size_t connections() const { return connections_.size(); }
   void close_all();
@@ -40,7 +43,8 @@
 
  private:
   using ConnectionId = std::uint64_t;
-  // In the order in which they get a descriptor: giving up, news and pages, new sends.
+  // In the order in which waiting calls get a connection: cancels and priority changes, polls and pages,
+  // starts.
   enum Queue { kControl, kReads, kStarts, kQueueCount };
   struct Waiting {
     core::StartCall call;
@@ -48,7 +52,8 @@
   };
 
   static Queue queue_of(core::CallKind kind);
-  bool try_send(core::StartCall& call);  // on its attempt's connection or a new one; false if none can be had
+  // On the connection of its attempt or on a new one; false if none can be had.
+  bool try_send(core::StartCall& call);
   bool send_on_idle_connection(core::StartCall& call);
   bool send_on_new_connection(core::StartCall& call);
   bool may_connect(Queue queue) const;
@@ -56,14 +61,14 @@
   void expire_waiting(TimeUs now);
   void schedule_check(EngineConnection& connection);
   void update_waiting_count();
-  bool end_waiting(core::CallId call, core::ConnectionEnd end);  // false: it does not wait
+  bool end_waiting(core::CallId call, core::ConnectionEnd end);  // false: the call is not waiting
   void end_call(core::CallId call, core::ConnectionEnd end);
 
   Context& context_;
   EngineClientLimits limits_;
   std::map<ConnectionId, std::shared_ptr<EngineConnection>> connections_;
-  // Guards against a late second copy of an answer: bytes that come after their answer meet no other query,
-  // as only the calls of one attempt share a connection.
+  // By attempt. Guards against a late duplicate of an answer: only the calls of one attempt share a
+  // connection, so bytes behind an answer are never taken for the answer to another query.
   std::unordered_map<core::AttemptId, ConnectionId> idle_connections_;
   std::unordered_map<core::CallId, ConnectionId> call_connections_;
   std::array<std::deque<Waiting>, kQueueCount> waiting_;
--- a/src/net/engine_connection.cpp
+++ b/src/net/engine_connection.cpp
@@ -13,7 +13,7 @@
 
 using core::ConnectionEnd;
 
-constexpr TimeUs kStallTimeout = 100'000;  // inside an answer, which is written in one go
+constexpr TimeUs kStallTimeout = 100'000;  // between bytes of an answer, which engines write in one go
 
 }  // namespace
 
@@ -58,7 +58,7 @@
     const Denial denial = context_.start_denied(call_->call);
     if (denial != Denial::kNone) {
       context_.log.write(log::Level::kDebug, log::Component::kNet,
-                         std::string("start taken back: ") + name_of(denial),
+                         std::string("start withdrawn before it was sent: ") + name_of(denial),
                          {{"request", call_->reference}});
       return close(ConnectionEnd::kWithdrawn);
     }
@@ -99,14 +99,14 @@
   if (io_result.kind == Moved::Kind::kLater) return;
   if (io_result.kind != Moved::Kind::kBytes) return close(end_by_peer(io_result.kind == Moved::Kind::kReset));
   context_.counters.engine_bytes_in += io_result.bytes;
-  // Bytes with no call on it, or before the call is whole, answer nothing of ours.
+  // Bytes on an idle connection, or before the call is completely written, are no answer to a call of ours.
   if (state_ == State::kIdle || !unsent_.empty()) return close(ConnectionEnd::kUnreadable);
   last_read_at_ = monotonic_now() - context_.lost;
   if (!read_bytes({free_space.data(), io_result.bytes})) return close(ConnectionEnd::kUnreadable);
   if (state_ == State::kBusy) owner_.on_answer_begun(*this);
 }
 
-// False if what came can't be read.
+// False if the bytes are not a valid answer.
 bool EngineConnection::read_bytes(std::string_view bytes) {
   using Result = http::ResponseParser::Result;
   const Result result = parse_answer_bytes(parser_, bytes, [this](std::string_view piece) {
@@ -122,8 +122,8 @@
   auto rows = std::make_unique<ChainPayload>(std::move(body_));
   body_ = BufferChain(context_.pool);
   auto answer = http::read_answer(call_->kind, parser_.head(), std::move(rows), row_check_.whole());
-  // Bytes behind an answer belong to no call: the connection is not used again. Behind rows they may be rows
-  // that the length left out: these are asked for again.
+  // Bytes behind an answer belong to no call: the connection is not used again. Behind an answer with rows
+  // they may be rows beyond a wrong content length: the call fails, so that the rows are requested again.
   const bool has_rows = parser_.head().status == 200;
   if (!answer || (has_rows && !no_trailing_bytes)) return close(ConnectionEnd::kUnreadable);
   const core::CallId call = call_->call;
@@ -137,7 +137,8 @@
   owner_.on_answer(*this, call, std::move(*answer));
 }
 
-// How a connection that the other side ended has ended: it depends on what had passed.
+// How to report that the engine ended the connection, by what was sent and received before. `reset`: it was
+// reset, else it was closed.
 ConnectionEnd EngineConnection::end_by_peer(bool reset) const {
   if (state_ == State::kIdle) return ConnectionEnd::kClosedIdle;
   if (!unsent_.empty() || state_ == State::kConnecting)
@@ -148,8 +149,8 @@
 TimeUs EngineConnection::due() const {
   if (state_ == State::kConnecting) return std::min(connect_deadline_, answer_deadline_) + context_.lost;
   if (state_ == State::kBusy && !parser_.begun()) return answer_deadline_ + context_.lost;
-  // Guards against answers that stop short on a connection that stays open: waiting the call's whole time for
-  // the rest costs a short query its aim.
+  // Guards against answers that stop in the middle while the connection stays open: waiting for the rest
+  // until the call's deadline would make a short query miss its latency target.
   if (state_ == State::kBusy)
     return std::min(answer_deadline_, last_read_at_ + kStallTimeout) + context_.lost;
   return std::numeric_limits<TimeUs>::max();
--- a/src/net/engine_connection.h
+++ b/src/net/engine_connection.h
@@ -1,4 +1,4 @@
-// One connection to an engine: one call at a time, kept for the next.
+// One connection to an engine. Carries one call at a time and stays open for the next.
 #pragma once
 
 #include <functional>
@@ -16,14 +16,15 @@
 
 class EngineConnection;
 
-// What a connection reports to its owner. Each call given to it is reported exactly once.
+// What a connection reports to its owner. Each call that it was given is reported exactly once, by
+// `on_answer` or `on_closed`.
 class EngineConnectionOwner {
  public:
   virtual ~EngineConnectionOwner() = default;
   virtual void on_answer(EngineConnection& connection, core::CallId call, core::CallAnswer answer) = 0;
-  // An answer has begun and goes on: what it waits for is due sooner now.
+  // A part of an answer was read and more is to come: `due` may be earlier now.
   virtual void on_answer_begun(EngineConnection& connection) = 0;
-  // With the call that was on it, if one was. The connection is closed.
+  // The connection was closed. `call`: the unanswered call that it carried, if any.
   virtual void on_closed(EngineConnection& connection, core::ConnectionEnd end,
                          std::optional<core::CallId> call) = 0;
 };
@@ -39,11 +40,11 @@
   bool connecting() const { return state_ == State::kConnecting; }
   std::optional<core::CallId> call() const;
 
-  void send(core::StartCall call);  // on an idle connection
-  TimeUs due() const;               // when `check` has something to do
-  TimeUs next_check = 0;            // the owner's note: when it looks next; 0: not at all
-  void check(TimeUs now);
-  void drop();  // gives its call up
+  void send(core::StartCall call);  // only on an idle connection
+  TimeUs due() const;               // when `check` is to be called
+  TimeUs next_check = 0;            // for the owner: when it calls `check` next; 0: never
+  void check(TimeUs now);           // closes the connection if a time limit has passed
+  void drop();                      // gives up the call and closes the connection
   void close(core::ConnectionEnd end);
 
   void on_readable() override;
@@ -68,11 +69,11 @@
   State state_ = State::kConnecting;
   std::optional<core::StartCall> call_;
   TimeUs connect_started_at_;
-  // On the clock without the time that this process lost: guards against laying its own stall on the engine,
-  // whose answer lies unread.
+  // Times that exclude `Context::lost`. Guards against counting a stall of this process as the engine's
+  // silence, while the engine's answer is unread.
   TimeUs connect_deadline_;
   TimeUs answer_deadline_;
-  TimeUs last_read_at_ = 0;  // the last bytes of an answer
+  TimeUs last_read_at_ = 0;  // when bytes of an answer were last read
   http::ResponseParser parser_;
   BufferChain unsent_;
   BufferChain body_;
