--- a/src/net/controller.cpp
+++ b/src/net/controller.cpp
@@ -15,7 +15,7 @@
 
 constexpr std::int64_t kBytesPerMb = 1024L * 1024;
 // Shares of the memory: one part in so many is for (docs/architecture.md adds them up)
-constexpr std::int64_t kPoolDivisor = 4;  // buffers; answers that have begun may take half as much again
+constexpr std::int64_t kPoolDivisor = 4;         // buffers; work in progress may take half as much again
 constexpr std::int64_t kStatementsDivisor = 16;  // statements of open queries, and the same for their copies
 constexpr std::int64_t kFramesDivisor = 16;      // incomplete frames
 constexpr std::int64_t kChangesDivisor = 64;  // an answer of the change log; parsing it takes ten times that
@@ -24,8 +24,8 @@
 constexpr TimeUs kMaxWait = 1'000'000;
 constexpr TimeUs kReloadRetryDelay = 200'000;
 constexpr TimeUs kAcceptInterval = 10'000;
-constexpr TimeUs kAcceptTimeLimit =
-    2'000'000;  // in a shutdown: clients still in the backlog then are dropped
+// Since the shutdown was requested; clients that are still in the system's backlog then are given up.
+constexpr TimeUs kAcceptTimeLimit = 2'000'000;
 
 std::size_t memory_part(const config::ControllerConfig& config, std::int64_t divisor) {
   return static_cast<std::size_t>(config.memory_mb * kBytesPerMb / divisor);
@@ -468,8 +468,8 @@
 
 // Descriptors of connections, plus those that are always open.
 void Controller::count_descriptors() {
-  constexpr std::uint64_t kFixedDescriptors =
-      8;  // standard ones, listener, poll, signals, ticker, change log
+  // Standard streams, listener, epoll, signals, ticker, change log.
+  constexpr std::uint64_t kFixedDescriptors = 8;
   counters_.descriptors.set(counters_.clients.now + front_door_.lingering() +
                             counters_.engine_connections.now + kFixedDescriptors +
                             (fleet_ ? fleet_->connections() : 0));
--- a/src/net/fleet_member.cpp
+++ b/src/net/fleet_member.cpp
@@ -10,10 +10,10 @@
 namespace {
 
 constexpr TimeUs kUsPerMs = 1000;
-constexpr TimeUs kLeaveTimeout =
-    500'000;  // a stop waits so long for the keepers' word that the parts are back
-// Of a lease's term: keepers that hear nothing of their leader for a quarter look for another, so that its
-// loss costs no holder its lease (two elections and an ask fit into a term).
+// In a shutdown: how long the keepers' confirmation that the shares are returned is waited for.
+constexpr TimeUs kLeaveTimeout = 500'000;
+// Divisors of a lease's term: keepers that hear nothing of their leader for a quarter of it elect another, so
+// that losing the leader costs no member its lease (two elections and a lease request fit into a term).
 constexpr TimeUs kElectionDivisor = 4;
 constexpr TimeUs kHeartbeatDivisor = 24;
 
@@ -28,7 +28,7 @@
   return place != nullptr && options.runs_keeper ? place->id : 0;
 }
 
-// Not itself, where it is named and does not keep.
+// All keepers; without this controller if the file names it as a keeper and it runs none.
 std::vector<fleet::KeeperId> keepers_to_ask(const fleet::FleetConfig& config,
                                             const FleetMemberOptions& options) {
   std::vector<fleet::KeeperId> out = keeper_ids(config);
@@ -102,15 +102,15 @@
   if (promises_) promises_->check(now, role_.holder().terms().term);
 }
 
-// Without a lease no promise is asked for: no keeper may be there to give one, and who may send on it is not
-// a member. At once, not after a wait.
+// Unavailable at once, without waiting, while there is no lease: there may be no keeper to grant a key, and
+// only a member may send a query whose key was granted.
 core::KeyVerdict FleetMember::key_status(const std::string& identity) const {
   const TimeUs now = monotonic_now();
   const bool may_be_given = role_.holder().leased(now) && role_.keys_settled();
   return may_be_given ? promises_->key_status(identity, now) : core::KeyVerdict::kNoRoom;
 }
 
-// To whom its lease is asked of: that follows the leader.
+// Sent to the keeper that leases are requested from, which follows the leader.
 void FleetMember::request_keys(const promises::KeyAsk& ask) {
   if (role_.asks() == own_keeper_) {
     keeper_->post(KeeperThread::KeyRequest{0, ask});
@@ -160,8 +160,8 @@
   return shares;
 }
 
-// For audits: what may be used from now until then, in parts, each with the cut-off part behind the plus. It
-// holds until the next such line of this process.
+// For audits: what may be used from now until the stated time, for each allowance as `leased+cut_off/whole`
+// in parts. Holds until the next such line of this process.
 void FleetMember::log_lease(TimeUs now) {
   if (!context_.log.on(log::Level::kDebug, log::Component::kFleet)) return;
   const budget::Holder& holder = role_.holder();
@@ -183,7 +183,8 @@
   } else if (auto* keys = std::get_if<promises::KeyAsk>(&message)) {
     if (keeper_) keeper_->post(KeeperThread::KeyRequest{link, std::move(*keys)});
   } else if (auto* log = std::get_if<fleet::LogMessage>(&message)) {
-    // Known at once: guards against a greeting that is sent before the keeper's thread has looked at this.
+    // Recorded at once: guards against a Hello that is sent before the keeper's thread has processed the
+    // message.
     if (store_in_use_) port_.add_begun_keeper(log->from);
     if (keeper_) keeper_->post(std::move(*log));
   } else {
--- a/src/net/fleet_member.h
+++ b/src/net/fleet_member.h
@@ -1,4 +1,5 @@
-// This controller as a member of its fleet: its leases, its connections, its keeper's thread if it keeps.
+// This controller as a member of its fleet: its budget leases, its connections to other controllers, and the
+// keeper's thread if it is a keeper (one of the members that replicate the fleet's agreed log).
 #pragma once
 
 #include <functional>
@@ -18,45 +19,49 @@
 
 namespace orchidgw::net {
 
-// What a start of a member needs beside the file.
+// What a member needs besides the fleet's file.
 struct FleetMemberOptions {
-  std::string name;  // of this controller
-  std::uint64_t incarnation = 0;
+  std::string name;               // of this controller
+  std::uint64_t incarnation = 0;  // distinguishes starts of this name; greater for a later start
   std::uint64_t seed = 0;
-  int listener = -1;        // of a keeper; owned from here on
-  bool runs_keeper = true;  // where the file names it as a keeper; else it is a member alone
+  int listener = -1;        // a keeper's listening socket; the member takes ownership
+  bool runs_keeper = true;  // if the file names it as a keeper; false: it is an ordinary member all the same
 };
 
 class FleetMember final : public ChannelHandler {
  public:
-  // Throws what names the store's folder and the reason.
+  // `use`: reports what this controller uses of the limits now. `send`: called for a call whose key the
+  // keepers have granted. Throws an exception that names the store's folder and the reason.
   FleetMember(Context& context, const fleet::FleetConfig& config, const FleetMemberOptions& options,
               const Settings& settings, const limits::LimitSet* limits, std::function<limits::FleetUse()> use,
               std::function<void(core::StartCall)> send);
   ~FleetMember() override;
 
-  // Once a turn: sends what is due. Then and before each event: `shares`.
+  // To be called once a turn: sends what is due. After it and before each event call `changed_shares`.
   void check(TimeUs now);
-  TimeUs wait(TimeUs now) const;  // until `check` has something to do
+  TimeUs wait(TimeUs now) const;  // how long until `check` has something to do
 
-  // What may be used at `now`, if that is other than at the last call. A comparison of two times in most.
+  // The shares of the fleet's budgets that this controller may use at `now`, if they differ from those of the
+  // last call. Mostly costs a comparison of two times.
   std::optional<fleet::Shares> changed_shares(TimeUs now);
 
-  Promises* promises() { return promises_ ? &*promises_ : nullptr; }  // null: the fleet keeps no keys
-  core::KeyVerdict key_status(const std::string& identity) const;     // where it keeps them
+  Promises* promises() { return promises_ ? &*promises_ : nullptr; }  // null: the fleet grants no keys
+  // Whether a query that must not run twice may be accepted. Only if `promises` is not null.
+  core::KeyVerdict key_status(const std::string& identity) const;
 
+  // A query was accepted that costs `cost`, by estimate: counts as demand for budgets.
   void record_query(TimeUs now, const std::string& tenant, TimeUs cost) { demand_.taken(now, tenant, cost); }
   void set_engine_cores(double cores) { demand_.engines(cores); }
-  // A file was put in force: a leading keeper has the fleet follow it.
+  // A new configuration is in force: if this is the leading keeper, it proposes the new terms to the fleet.
   void apply_configuration(const fleet::FleetConfig& config, const limits::LimitSet* limits);
 
-  void leave(TimeUs now);       // gives all parts back
-  bool left(TimeUs now) const;  // the keepers know, or there is no use in waiting any more
-  std::string status(TimeUs now) const;
+  void leave(TimeUs now);                // begins to return all shares
+  bool left(TimeUs now) const;           // the keepers have confirmed it, or waiting for that timed out
+  std::string status(TimeUs now) const;  // lines for operators
   std::size_t connections() const { return port_.connections(); }
   void close_all();
 
-  void on_readable() override;  // the keeper's thread has something
+  void on_readable() override;  // the keeper's thread has output
   void on_writable() override {}
   void on_error() override {}
   void on_failure(const char* what) override;
@@ -82,12 +87,12 @@
   std::unique_ptr<KeeperThread> keeper_;
   std::unique_ptr<Channel> wake_;
   std::optional<Promises> promises_;
-  std::optional<fleet::Shares> shares_;  // as they were told last
-  bool shares_outdated_ = true;          // the lease is another
+  std::optional<fleet::Shares> shares_;  // as `changed_shares` returned them last
+  bool shares_outdated_ = true;          // the lease has changed since
   bool was_leased_ = false;
-  bool store_in_use_ = false;  // its disk is in use
+  bool store_in_use_ = false;  // the keeper runs on its store
   bool keeper_heard_ = false;
-  std::vector<fleet::KeeperId> awaited_keepers_;  // greetings without which its disk is not used
+  std::vector<fleet::KeeperId> awaited_keepers_;  // whose Hello the keeper needs before it may start or vote
   std::optional<recovery::Stage> stage_;
   TimeUs leaving_since_ = 0;
 };
--- a/src/net/fleet_port.cpp
+++ b/src/net/fleet_port.cpp
@@ -37,7 +37,8 @@
 }
 
 void FleetPort::on_readable() {
-  // Each member has one connection here, another while an old one is not known to be dead; keepers as well.
+  // Each member has one connection here, and a second one while an old one is not yet known to be dead. So do
+  // keepers.
   const std::size_t max_links = 2 * static_cast<std::size_t>(config_.largest) + 4 * config_.keepers.size();
   while (true) {
     const Accepted accepted = accept_one(listener_->fd());
@@ -46,7 +47,7 @@
     if (!link->is_open()) continue;
     accepted_[link->id()] = link;
     if (accepted_.size() <= max_links) continue;
-    // Guards against descriptors that run out: the oldest goes, and comes back if it lives.
+    // Guards against running out of descriptors: the oldest is closed; if its peer is alive it reconnects.
     accepted_.begin()->second->close("more connections than the fleet has members");
   }
 }
@@ -70,7 +71,7 @@
                        {{"name", hello->from.name}, {"why", mismatch}});
     return link.close(mismatch);
   }
-  if (!link.peer()) return link.close("no greeting came first");
+  if (!link.peer()) return link.close("first message is not a Hello");
   events_.message(link.id(), std::move(message));
 }
 
@@ -84,13 +85,13 @@
     if (outgoing.link.get() != &link) continue;
     context_.closed.push_back(std::move(outgoing.link));
     outgoing.link = nullptr;
-    // Longer after each failure, and spread: a fleet that lost a keeper does not come back as one.
+    // Exponential backoff with jitter: members that lost a keeper do not all reconnect to it at once.
     outgoing.retry_delay =
         link.peer() ? kMinRetryDelay : std::clamp(outgoing.retry_delay * 2, kMinRetryDelay, kMaxRetryDelay);
     random_state_ = random_state_ * 6364136223846793005ULL + 1442695040888963407ULL;
     const auto spread = static_cast<TimeUs>(random_state_ >> 33) % outgoing.retry_delay;
     outgoing.retry_at = monotonic_now() + outgoing.retry_delay / 2 + spread;
-    context_.log.write(log::Level::kDebug, log::Component::kFleet, "a keeper's connection is gone",
+    context_.log.write(log::Level::kDebug, log::Component::kFleet, "connection to a keeper closed",
                        {{"keeper", static_cast<std::int64_t>(keeper)}, {"why", why}});
     return events_.keeper_disconnected(keeper);
   }
@@ -113,7 +114,7 @@
 bool FleetPort::send(fleet::KeeperId to, const fleet::Message& message) {
   Outgoing& outgoing = outgoing_[to];
   if (!outgoing.link && !connect(to, outgoing)) return false;
-  const std::shared_ptr<PeerLink> link = outgoing.link;  // it may close in there
+  const std::shared_ptr<PeerLink> link = outgoing.link;  // kept alive if `send` closes it
   return link->send(message);
 }
 
@@ -122,7 +123,7 @@
   if (!outgoing.link) connect(keeper, outgoing);
 }
 
-// Bounded by the file's keepers: guards against a number that a message made up.
+// Only keepers of the file are added: guards against invalid ids in messages.
 void FleetPort::add_begun_keeper(fleet::KeeperId begun) {
   const bool is_configured = std::any_of(config_.keepers.begin(), config_.keepers.end(),
                                          [begun](const fleet::KeeperPlace& one) { return one.id == begun; });
@@ -153,7 +154,7 @@
   };
   for (const auto& [id, link] : accepted_) collect_silent(link);
   for (const auto& [id, outgoing] : outgoing_) collect_silent(outgoing.link);
-  for (const auto& link : silent) link->close("no greeting in time");
+  for (const auto& link : silent) link->close("no Hello in time");
 }
 
 TimeUs FleetPort::next_due() const { return next_check_; }
@@ -163,7 +164,7 @@
   for (const auto& [id, link] : accepted_) all.push_back(link);
   for (const auto& [id, outgoing] : outgoing_)
     if (outgoing.link) all.push_back(outgoing.link);
-  for (const auto& link : all) link->close("this controller stops");
+  for (const auto& link : all) link->close("this controller is stopping");
   if (listener_) listener_->close();
 }
 
--- a/src/net/fleet_port.h
+++ b/src/net/fleet_port.h
@@ -1,5 +1,6 @@
-// All connections to other controllers of the fleet: those that keepers accept, and one to each keeper that
-// this controller has something to say to. Comes back after a break by itself, spread over time.
+// All connections to other controllers of the fleet: those that a keeper accepts, and one to each keeper that
+// this controller sends messages to. Lost connections are opened again by the next send, after a random
+// delay.
 #pragma once
 
 #include <functional>
@@ -16,57 +17,63 @@
 class FleetPort final : public ChannelHandler {
  public:
   struct Events {
-    std::function<void(std::uint64_t link, fleet::Message)> message;  // after its Hello
-    std::function<void(std::uint64_t link)> link_closed;              // of those that were accepted
-    std::function<void(fleet::KeeperId)> keeper_disconnected;  // the connection to it, or it never came up
+    std::function<void(std::uint64_t link, fleet::Message)>
+        message;                                          // any but a Hello; on a link that sent its Hello
+    std::function<void(std::uint64_t link)> link_closed;  // only of accepted links
+    std::function<void(fleet::KeeperId)>
+        keeper_disconnected;  // the connection to it closed, or failed to open
     std::function<void(const fleet::Hello&)> keeper_hello;
   };
 
-  // `listener`: owned from here on; -1: this controller keeps nothing. `seed`: of how reconnects are spread.
+  // `listener`: a keeper's listening socket, of which this takes ownership; -1: not a keeper. `self`: sent
+  // first on each connection. `seed`: for the random delays of reconnects.
   FleetPort(Context& context, const fleet::FleetConfig& config, fleet::Hello self, int listener,
             std::uint64_t seed, Events events);
 
-  // Over the connection to that keeper, which is opened where there is none; false: it is left out.
+  // Sends to that keeper, opening a connection if there is none. False: the message was dropped.
   bool send(fleet::KeeperId to, const fleet::Message& message);
+  // Sends on an accepted link. False: the message was dropped.
   bool reply(std::uint64_t link, const fleet::Message& message);
-  // Opens a connection to that keeper where there is none: each side greets the other.
+  // Opens a connection to that keeper if there is none; both sides then exchange their Hello.
   void ensure_connection(fleet::KeeperId keeper);
-  void add_begun_keeper(fleet::KeeperId begun);                           // said in later greetings
-  void set_log_standing(const fleet::LogStanding& at) { self_.at = at; }  // likewise
-  void disconnect(
+  void add_begun_keeper(fleet::KeeperId begun);  // for later Hellos: that keeper is known to have a log
+  // For later Hellos: the position of this keeper's log.
+  void set_log_standing(const fleet::LogStanding& at) { self_.at = at; }
+  // Closes the connection to a keeper that does not answer; the next message to it goes over a new one.
+  void disconnect(fleet::KeeperId keeper);
       fleet::KeeperId keeper);  // it does not answer: the next word to it goes over a new connection
-  void check(TimeUs now);       // time limits
-  TimeUs next_due() const;
-  std::size_t connections() const { return accepted_.size() + outgoing_.size(); }
-  void close_all();
+      void check(TimeUs now);   // closes links whose Hello is overdue
+      TimeUs next_due() const;
+      std::size_t connections() const { return accepted_.size() + outgoing_.size(); }
+      void close_all();
 
-  void on_readable() override;
-  void on_writable() override {}
-  void on_error() override {}
-  void on_failure(const char* what) override;
+      void on_readable() override;
+      void on_writable() override {}
+      void on_error() override {}
+      void on_failure(const char* what) override;
 
- private:
-  struct Outgoing {
-    std::shared_ptr<PeerLink> link;
-    TimeUs retry_at = 0;  // of the next try
-    TimeUs retry_delay = 0;
-  };
-  std::shared_ptr<PeerLink> open_link(int fd, bool connected);
-  bool connect(fleet::KeeperId to, Outgoing& outgoing);
-  void on_message(PeerLink& link, fleet::Message message);
-  void on_link_closed(PeerLink& link, const std::string& why);
-  std::string mismatch_of(const fleet::Hello& hello) const;  // empty: it belongs here
+     private:
+      struct Outgoing {
+        std::shared_ptr<PeerLink> link;
+        TimeUs retry_at = 0;  // not before this time
+        TimeUs retry_delay = 0;
+      };
+      std::shared_ptr<PeerLink> open_link(int fd, bool connected);
+      bool connect(fleet::KeeperId to, Outgoing& outgoing);
+      void on_message(PeerLink& link, fleet::Message message);
+      void on_link_closed(PeerLink& link, const std::string& why);
+      std::string mismatch_of(const fleet::Hello& hello) const;  // why it may not connect; empty: it may
 
-  Context& context_;
-  fleet::FleetConfig config_;
-  fleet::Hello self_;
-  Events events_;
-  std::unique_ptr<Channel> listener_;
-  std::map<std::uint64_t, std::shared_ptr<PeerLink>> accepted_;
-  std::map<fleet::KeeperId, Outgoing> outgoing_;
-  std::uint64_t last_link_id_ = 0;
-  std::uint64_t random_state_;
-  TimeUs next_check_ = 0;
+      Context& context_;
+      fleet::FleetConfig config_;
+      fleet::Hello self_;
+      Events events_;
+      std::unique_ptr<Channel> listener_;
+      std::map<std::uint64_t, std::shared_ptr<PeerLink>> accepted_;
+      std::map<fleet::KeeperId, Outgoing> outgoing_;
+      std::uint64_t last_link_id_ = 0;
+      std::uint64_t random_state_;
+      TimeUs next_check_ = 0;
 };
 
 }  // namespace orchidgw::net
--- a/src/net/peer_link.cpp
+++ b/src/net/peer_link.cpp
@@ -16,7 +16,7 @@
 
 constexpr std::size_t kMaxUnsentBytes = 2 * thrift::kFleetFrameMost;
 constexpr std::size_t kReadBytes = 65536;
-constexpr int kMaxReadsPerEvent = 8;  // lest one peer hold up the others
+constexpr int kMaxReadsPerEvent = 8;  // so that one peer can't hold up the others
 constexpr unsigned kUnackedTimeoutMs = 5'000;
 
 }  // namespace
@@ -29,7 +29,7 @@
       connected_(connected),
       frames_(thrift::kFleetFrameMost),
       opened_at_(monotonic_now()) {
-  // Guards against a peer whose machine vanished: without a word the connection would stay for hours.
+  // Guards against a peer whose machine vanished without closing: the connection would stay open for hours.
   setsockopt(fd, IPPROTO_TCP, TCP_USER_TIMEOUT, &kUnackedTimeoutMs, sizeof kUnackedTimeoutMs);
   if (connected_) {
     channel_.want_read(true);
@@ -97,10 +97,10 @@
     std::string_view unread(bytes.data(), io_result.bytes);
     while (!unread.empty() && is_open()) {
       const auto result = frames_.feed(unread);
-      if (result == thrift::FrameReader::Result::kBroken) return close("a frame can't be read");
+      if (result == thrift::FrameReader::Result::kBroken) return close("unreadable frame");
       if (result == thrift::FrameReader::Result::kMore) break;
       auto message = thrift::read_fleet(frames_.frame());
-      if (!message) return close("a message can't be read");
+      if (!message) return close("unreadable message");
       ++context_.counters.fleet_received;
       events_.message(*this, std::move(*message));
     }
--- a/src/net/peer_link.h
+++ b/src/net/peer_link.h
@@ -1,6 +1,6 @@
-// One connection between two controllers of a fleet: framed messages both ways, one Hello first. Bounded in
-// what it reads at once and in what waits to be written: past that a message is left out, which both sides'
-// protocols bear.
+// One connection between two controllers of a fleet: framed messages in both directions, a Hello first.
+// Limits how much it reads at once and how much may wait to be written. Messages beyond that are dropped,
+// which the protocols of both sides tolerate.
 #pragma once
 
 #include <functional>
@@ -18,10 +18,10 @@
  public:
   struct Events {
     std::function<void(PeerLink&, fleet::Message)> message;
-    std::function<void(PeerLink&, const std::string& why)> closed;  // once; the link is no use any more
+    std::function<void(PeerLink&, const std::string& why)> closed;  // once; the link can't be used any more
   };
 
-  // `up`: accepted, else it is still connecting.
+  // `connected`: the socket was accepted; else its connect is still in progress.
   PeerLink(Context& context, int fd, bool connected, std::uint64_t id, Events events);
 
   std::uint64_t id() const { return id_; }
@@ -30,7 +30,7 @@
   void set_peer(fleet::Hello hello) { peer_ = std::move(hello); }
   TimeUs opened_at() const { return opened_at_; }
 
-  // False: too much waits already, the message is left out.
+  // False: the link is closed, or too much is unsent already; the message was dropped.
   bool send(const fleet::Message& message);
   void close(const std::string& why);
 
@@ -50,7 +50,7 @@
   bool connected_;
   thrift::FrameReader frames_;
   std::string unsent_;
-  std::size_t written_bytes_ = 0;  // of `out_`
+  std::size_t written_bytes_ = 0;  // of `unsent_`
   std::optional<fleet::Hello> peer_;
   TimeUs opened_at_;
 };
