--- a/src/net/fleet_port.h
+++ b/src/net/fleet_port.h
@@ -17,12 +17,12 @@
 class FleetPort final : public ChannelHandler {
  public:
   struct Events {
-    std::function<void(std::uint64_t link, fleet::Message)>
-        message;                                          // any but a Hello; on a link that sent its Hello
-    std::function<void(std::uint64_t link)> link_closed;  // only of accepted links
-    std::function<void(fleet::KeeperId)>
-        keeper_disconnected;  // the connection to it closed, or failed to open
-    std::function<void(const fleet::Hello&)> keeper_hello;
+    // Any message but a Hello, on a link whose peer has sent its Hello.
+    std::function<void(std::uint64_t link, fleet::Message)> message;
+    std::function<void(std::uint64_t link)> link_closed;  // only for accepted links
+    // The connection to that keeper was closed, or could not be opened.
+    std::function<void(fleet::KeeperId)> keeper_disconnected;
+    std::function<void(const fleet::Hello&)> keeper_hello;  // a keeper's Hello was accepted
   };
 
   // `listener`: a keeper's listening socket, of which this takes ownership; -1: not a keeper. `self`: sent
@@ -41,39 +41,39 @@
   void set_log_standing(const fleet::LogStanding& at) { self_.at = at; }
   // Closes the connection to a keeper that does not answer; the next message to it goes over a new one.
   void disconnect(fleet::KeeperId keeper);
-      fleet::KeeperId keeper);  // it does not answer: the next word to it goes over a new connection
-      void check(TimeUs now);   // closes links whose Hello is overdue
-      TimeUs next_due() const;
-      std::size_t connections() const { return accepted_.size() + outgoing_.size(); }
-      void close_all();
 
-      void on_readable() override;
-      void on_writable() override {}
-      void on_error() override {}
-      void on_failure(const char* what) override;
+  void check(TimeUs now);  // closes links whose Hello is overdue
+  TimeUs next_due() const;
+  std::size_t connections() const { return accepted_.size() + outgoing_.size(); }
+  void close_all();
 
-     private:
-      struct Outgoing {
-        std::shared_ptr<PeerLink> link;
-        TimeUs retry_at = 0;  // not before this time
-        TimeUs retry_delay = 0;
-      };
-      std::shared_ptr<PeerLink> open_link(int fd, bool connected);
-      bool connect(fleet::KeeperId to, Outgoing& outgoing);
-      void on_message(PeerLink& link, fleet::Message message);
-      void on_link_closed(PeerLink& link, const std::string& why);
-      std::string mismatch_of(const fleet::Hello& hello) const;  // why it may not connect; empty: it may
+  void on_readable() override;
+  void on_writable() override {}
+  void on_error() override {}
+  void on_failure(const char* what) override;
 
-      Context& context_;
-      fleet::FleetConfig config_;
-      fleet::Hello self_;
-      Events events_;
-      std::unique_ptr<Channel> listener_;
-      std::map<std::uint64_t, std::shared_ptr<PeerLink>> accepted_;
-      std::map<fleet::KeeperId, Outgoing> outgoing_;
-      std::uint64_t last_link_id_ = 0;
-      std::uint64_t random_state_;
-      TimeUs next_check_ = 0;
+ private:
+  struct Outgoing {
+    std::shared_ptr<PeerLink> link;
+    TimeUs retry_at = 0;  // not before this time
+    TimeUs retry_delay = 0;
+  };
+  std::shared_ptr<PeerLink> open_link(int fd, bool connected);
+  bool connect(fleet::KeeperId to, Outgoing& outgoing);
+  void on_message(PeerLink& link, fleet::Message message);
+  void on_link_closed(PeerLink& link, const std::string& why);
+  std::string mismatch_of(const fleet::Hello& hello) const;  // why it may not connect; empty: it may
+
+  Context& context_;
+  fleet::FleetConfig config_;
+  fleet::Hello self_;
+  Events events_;
+  std::unique_ptr<Channel> listener_;
+  std::map<std::uint64_t, std::shared_ptr<PeerLink>> accepted_;
+  std::map<fleet::KeeperId, Outgoing> outgoing_;
+  std::uint64_t last_link_id_ = 0;
+  std::uint64_t random_state_;
+  TimeUs next_check_ = 0;
 };
 
 }  // namespace orchidgw::net
--- a/src/net/intents.cpp
+++ b/src/net/intents.cpp
@@ -20,7 +20,7 @@
 std::string boot_id() {
   std::string out;
   std::ifstream("/proc/sys/kernel/random/boot_id") >> out;
-  return out;  // empty where there is none: then no time of before is believed
+  return out;  // empty if there is none: then no earlier time is trusted
 }
 
 }  // namespace
@@ -100,7 +100,7 @@
       waiting_.pop_front();
       if (result.stored) {
         send_(std::move(call));
-      } else {  // it never left: another attempt, or a refusal, is harmless
+      } else {  // it was never sent: another attempt, or a refusal, is harmless
         context_.post(core::CallEnded{call.call, core::ConnectionEnd::kNoIntent});
       }
     }
@@ -114,7 +114,7 @@
 
 void Intents::run_store_thread() {
   leave_signals_to_the_loop();
-  std::vector<std::uint64_t> to_erase;  // kept until they are erased
+  std::vector<std::uint64_t> to_erase;  // kept until a commit has erased them
   while (true) {
     std::vector<store::Intent> to_store;
     {
@@ -137,7 +137,7 @@
       error_ = error;
       if (!to_store.empty()) results_.push_back({to_store.back().serial, error.empty()});
       wake_.ring();
-      if (!error.empty()) {  // tried again without a word, so that it is known when the disk is better
+      if (!error.empty()) {  // retries with nothing new to store, so that a recovered disk is noticed
         work_available_.wait_for(lock, kRetryDelay, [this] { return stop_; });
         if (to_erase_.empty()) to_erase_.push_back(0);
       }
--- a/src/net/intents.h
+++ b/src/net/intents.h
@@ -1,5 +1,6 @@
-// Sends wait here until their intent is durable; the loop goes on with all else. A thread of its own commits
-// what has gathered, so that one wait of the disk serves all that came meanwhile (group commit).
+// Holds calls back until the intent to send them is durable; the event loop goes on meanwhile. A thread
+// commits all intents that have gathered in one transaction (group commit), so that one disk wait serves all
+// of them.
 #pragma once
 
 #include <condition_variable>
@@ -22,16 +23,20 @@
 
 class Intents final : public ChannelHandler {
  public:
-  // `send`: its intent is durable. Throws what names the folder and the reason.
+  // `send`: called for each call whose intent is durable. Throws an exception that names the folder and the
+  // reason.
   Intents(Context& context, const std::string& folder, std::function<void(core::StartCall)> send);
   ~Intents() override;
 
+  // Whether a query with that identity may be accepted.
   core::KeyVerdict key_status(const std::string& identity) const;
+  // Stores the intent, then passes the call to `send`; posts CallEnded with kNoIntent if it can't be stored.
   void send_when_stored(core::StartCall call);
-  bool drop(core::CallId call);  // says nothing of its end; false: it is not held
-  void check();                  // once a turn: forgets what is over
+  bool drop(core::CallId call);  // posts no event; false: the call does not wait here
+  void check();                  // once a turn: erases intents that have expired
+  // How many intents the store held at the start.
   std::size_t loaded_count() const { return loaded_count_; }
-  void close();
+  void close();  // no call is sent any more
 
   void on_readable() override;
   void on_writable() override {}
@@ -43,7 +48,7 @@
     core::StartCall call;
     std::uint64_t serial = 0;
   };
-  struct StoreResult {  // of all serials since the one before
+  struct StoreResult {  // for all serials after those of the result before
     std::uint64_t last_serial = 0;
     bool stored = false;
   };
@@ -54,13 +59,13 @@
   store::IntentStore store_;
   std::size_t loaded_count_ = 0;
   recovery::KeyBook key_book_;
-  std::deque<WaitingCall> waiting_;  // in the order of their serials
+  std::deque<WaitingCall> waiting_;  // by ascending serial
   TimeUs check_at_ = 0;
   bool store_failing_ = false;
   Wake wake_;
   std::unique_ptr<Channel> channel_;
 
-  std::mutex mutex_;
+  std::mutex mutex_;  // of all members below but the thread
   std::condition_variable work_available_;
   std::vector<store::Intent> to_store_;
   std::vector<std::uint64_t> to_erase_;
--- a/src/net/keeper_thread.cpp
+++ b/src/net/keeper_thread.cpp
@@ -10,11 +10,12 @@
 namespace orchidgw::net {
 namespace {
 
-constexpr std::size_t kMaxQueuedMessages = 16'384;  // messages that wait, each way
+constexpr std::size_t kMaxQueuedMessages = 16'384;  // in each direction
 constexpr TimeUs kRetryDelay = 1'000'000;
 constexpr TimeUs kStatusInterval = 200'000;
 constexpr TimeUs kUsPerMs = 1'000;
-constexpr TimeUs kHelloWaitElections = 2;  // times an election's: for other keepers' greetings after a start
+// In election time-outs: how long other keepers' Hellos are waited for after a start.
+constexpr TimeUs kHelloWaitElections = 2;
 
 }  // namespace
 
@@ -54,7 +55,7 @@
   wake_.heard();
   const std::lock_guard lock(mutex_);
   Output out = std::exchange(output_, {});
-  output_.state = out.state;  // it holds until it is another
+  output_.state = out.state;  // stays valid until it changes
   return out;
 }
 
@@ -63,7 +64,7 @@
   return status_;
 }
 
-// Throws what names the folder: a store that can't be read, or another's.
+// Throws an exception that names the folder if the store can't be read or belongs to another keeper.
 void KeeperThread::open_store() {
   store_.reset();
   store_ = std::make_unique<store::LmdbStore>(folder_, store::kKeeperBytes);
@@ -75,15 +76,15 @@
   disk_claim_.emplace(self_, options_.voters, found);
 }
 
-// Whose disk it is and that it has begun is stored with the first of the log.
+// The owner of the store and the fact that this keeper has a log are stored with the log's first entries.
 void KeeperThread::start_keeper() {
   disk_claim_->begin();
   store_->set_owner(disk_claim_->owner());
   keeper_ = std::make_unique<keeper::Keeper>(options_, *store_, *role_, monotonic_now());
 }
 
-// Where there is no keeper: on a disk that failed and may be better, or one that is empty, once it may begin.
-// False: not yet.
+// Called while no keeper is running: retries a store that failed, and starts on an empty store once that is
+// allowed. False: not yet.
 bool KeeperThread::try_start_keeper() {
   if (store_failed_ && monotonic_now() < retry_at_) return false;
   try {
@@ -96,8 +97,9 @@
     const Verdict verdict = disk_claim_->verdict();
     if (verdict == Verdict::kMay) {
       start_keeper();
-      log_lines_.push_back(store_failed_ ? "keeping again"
-                                         : "an empty disk, and no other keeper knows it: a log is begun");
+      log_lines_.push_back(
+          store_failed_ ? "this keeper runs again"
+                        : "an empty disk, and no other keeper knows of a log on it: starting a new log");
       store_failed_ = false;
       return true;
     }
@@ -139,14 +141,14 @@
   inputs.clear();
 }
 
-// A log that is behind is that of a keeper that was away, or of one on an old copy of its disk.
+// A log is behind if the keeper was down for a while, or runs on an old copy of its disk.
 void KeeperThread::check_if_behind() {
   if (!keeper_ || !(keeper_->standing().last < vote_floor_.agreed()) || std::exchange(reported_behind_, true))
     return;
   log_lines_.push_back("this keeper's log is behind what was agreed on: it votes for nobody who lacks that");
 }
 
-// With what follows from it, before any of that leaves.
+// The owner is committed together with the changes that follow from it, before any of those is sent.
 void KeeperThread::store_claim() {
   if (keeper_) store_->set_owner(disk_claim_->owner());
 }
@@ -205,7 +207,8 @@
     process_inputs(inputs);
     if (!keeper_) try_start_keeper();
     if (keeper_) {
-      // What this turn brought is made durable in one go, and what it led to in the next.
+      // The inputs of this turn are made durable in one commit, and what the role proposes on them in a
+      // second.
       keeper_->advance(monotonic_now());
       keeper_->settle();
       role_->run(monotonic_now(), *keeper_);
--- a/src/net/keeper_thread.h
+++ b/src/net/keeper_thread.h
@@ -1,5 +1,6 @@
-// A keeper's own thread: the agreed log, whose store blocks while the disk writes, and the ledger that comes
-// of it. The loop hands messages in and takes messages out; between them is one queue each way, bounded.
+// A keeper's thread. Runs the agreed log, whose store blocks while the disk writes, and the ledger that the
+// log's entries build. The event loop posts inputs and takes outputs through one bounded queue in each
+// direction.
 #pragma once
 
 #include <condition_variable>
@@ -20,18 +21,18 @@
 
 class KeeperThread {
  public:
-  struct LeaseRequest {
+  struct LeaseRequest {  // link 0: of this controller itself
     fleet::LinkId link = 0;
     budget::Ask ask;
   };
-  struct KeyRequest {
+  struct KeyRequest {  // link 0: likewise
     fleet::LinkId link = 0;
     promises::KeyAsk ask;
   };
   struct LinkClosed {
     fleet::LinkId link = 0;
   };
-  struct HelloReceived {  // by another keeper
+  struct HelloReceived {  // from another keeper
     fleet::KeeperId by = 0;
     std::vector<fleet::KeeperId> begun;
     fleet::LogStanding log_standing;
@@ -39,32 +40,33 @@
   using Input =
       std::variant<fleet::LogMessage, LeaseRequest, KeyRequest, LinkClosed, HelloReceived, budget::Terms>;
 
-  struct KeeperState {  // of this keeper, as of now; see recovery::DiskClaim and VoteFloor
-    bool store_in_use = false;
-    std::vector<fleet::KeeperId> begun;            // whom it knows to have begun
-    std::vector<fleet::KeeperId> awaited_keepers;  // whose greeting it needs before it may begin, or vote
+  struct KeeperState {          // current state of this keeper; see recovery::DiskClaim and VoteFloor
+    bool store_in_use = false;  // the keeper is running
+    std::vector<fleet::KeeperId> begun;            // keepers that it knows to have a log
+    std::vector<fleet::KeeperId> awaited_keepers;  // whose Hello it needs before it may start or vote
     fleet::LogStanding log_standing;
     bool operator==(const KeeperState&) const = default;
   };
   struct Output {
     std::vector<fleet::LogMessage> to_keepers;
     std::vector<fleet::KeeperRole::Reply> replies;
-    std::vector<std::string> log_lines;  // for the log
+    std::vector<std::string> log_lines;  // to be written to the log
     KeeperState state;
   };
 
-  // Opens the store. Throws what names the folder and the reason.
+  // Opens the store. `own`: the terms of this keeper's file. Throws an exception that names the folder and
+  // the reason.
   KeeperThread(const keeper::Options& options, const std::string& folder, const store::StoredOwner& self,
                const budget::Terms& own);
   ~KeeperThread();
   KeeperThread(const KeeperThread&) = delete;
   KeeperThread& operator=(const KeeperThread&) = delete;
 
-  // Readable while there is something to take; `take` clears it. Owned by the caller. Throws SystemCallError.
+  // Readable while there is output; `take` clears it. The caller owns the descriptor. Throws SystemCallError.
   int wake_descriptor() const { return wake_.duplicate(); }
-  bool post(Input input);  // false: the queue is full, the message is left out
-  Output take();
-  std::string status() const;  // as of a moment ago
+  bool post(Input input);      // false: the queue is full, the input was dropped
+  Output take();               // what has gathered since the last call, and the current state
+  std::string status() const;  // lines for operators, up to 200 ms old
 
  private:
   using Verdict = recovery::DiskClaim::Verdict;
@@ -82,21 +84,21 @@
   store::StoredOwner self_;
   std::optional<recovery::DiskClaim> disk_claim_;
   recovery::VoteFloor vote_floor_;
-  bool reported_behind_ = false;              // said so
-  Verdict reported_verdict_ = Verdict::kMay;  // last in a note
-  bool store_failed_ = false;                 // the store did
+  bool reported_behind_ = false;              // that the log is behind was logged
+  Verdict reported_verdict_ = Verdict::kMay;  // the last that was logged
+  bool store_failed_ = false;
   std::string folder_;
   std::unique_ptr<store::LogStore> store_;
   std::unique_ptr<keeper::Keeper> keeper_;
   std::unique_ptr<fleet::KeeperRole> role_;
   budget::Terms own_terms_;
-  TimeUs retry_at_ = 0;        // of a keeper whose store failed
-  TimeUs next_status_at_ = 0;  // when the status is written next
+  TimeUs retry_at_ = 0;        // of opening a store that failed
+  TimeUs next_status_at_ = 0;  // when `status_` is written next
   std::vector<std::string> log_lines_;
   bool was_leader_ = false;
   Wake wake_;
 
-  mutable std::mutex mutex_;
+  mutable std::mutex mutex_;  // of all members below but the thread
   std::condition_variable input_available_;
   std::vector<Input> inputs_;
   Output output_;
--- a/src/net/promises.cpp
+++ b/src/net/promises.cpp
@@ -53,7 +53,7 @@
         ++held_elsewhere_;
         context_.post(core::CallEnded{call.call, core::ConnectionEnd::kKeyRests});
         break;
-      case promises::Told::kNotNow:  // it never left: another attempt, or a refusal, is harmless
+      case promises::Told::kNotNow:  // it was never sent: another attempt, or a refusal, is harmless
         ++unavailable_;
         context_.post(core::CallEnded{call.call, core::ConnectionEnd::kNoIntent});
         break;
--- a/src/net/promises.h
+++ b/src/net/promises.h
@@ -1,5 +1,5 @@
-// Sends of what must not run twice wait here until the keepers of the fleet have promised that nobody else
-// sends it; the loop goes on with all else. All that a turn wants goes in one message.
+// Holds back calls of queries that must not run twice until the fleet's keepers have promised that no other
+// controller sends the query; the event loop goes on meanwhile. All keys that a turn wants go in one message.
 #pragma once
 
 #include <functional>
@@ -14,19 +14,23 @@
 
 class Promises {
  public:
-  // `send`: the promise is there. `ask`: to the keeper that leads, or that may know who does.
+  // `send`: called for each call whose key was promised. `ask`: sends a request to the leading keeper, or to
+  // one that may know the leader.
   Promises(Context& context, promises::MemberKey self, std::function<void(core::StartCall)> send,
            std::function<void(const promises::KeyAsk&)> ask);
 
+  // Whether a query with that identity may be accepted.
   core::KeyVerdict key_status(const std::string& identity, TimeUs now) const;
+  // Requests the key, then passes the call to `send`; posts CallEnded if the key is not granted.
   void send_when_promised(core::StartCall call, TimeUs now);
-  bool drop(core::CallId call);  // says nothing of its end; false: it is not held
-  void release_key(core::FreeKey key);
+  bool drop(core::CallId call);         // posts no event; false: the call does not wait here
+  void release_key(core::FreeKey key);  // nothing of the query ran: others may have its key
 
-  void check(TimeUs now, TimeUs term);  // once a turn: asks, gives up
+  // Once a turn: sends requests and gives up calls that waited too long. `term`: of a lease.
+  void check(TimeUs now, TimeUs term);
   std::optional<TimeUs> next_due() const { return holder_.next_due(); }
   void on_answer(TimeUs now, const promises::KeyTold& told);
-  std::string status() const;
+  std::string status() const;  // a line for operators
 
  private:
   void apply_verdicts(const std::vector<promises::KeyHolder::Verdict>& verdicts);
