--- a/src/net/intents.h
+++ b/src/net/intents.h
@@ -36,7 +36,7 @@
   void check();                  // once a turn: erases intents that have expired
   // How many intents the store held at the start.
   std::size_t loaded_count() const { return loaded_count_; }
-  void close();  // no call is sent any more
+  void close();  // stops passing calls to `send`
 
   void on_readable() override;
   void on_writable() override {}
@@ -65,7 +65,7 @@
   Wake wake_;
   std::unique_ptr<Channel> channel_;
 
-  std::mutex mutex_;  // of all members below but the thread
+  std::mutex mutex_;  // guards the members below, except the thread
   std::condition_variable work_available_;
   std::vector<store::Intent> to_store_;
   std::vector<std::uint64_t> to_erase_;
--- a/src/net/keeper_thread.h
+++ b/src/net/keeper_thread.h
@@ -98,7 +98,7 @@
   bool was_leader_ = false;
   Wake wake_;
 
-  mutable std::mutex mutex_;  // of all members below but the thread
+  mutable std::mutex mutex_;  // guards the members below, except the thread
   std::condition_variable input_available_;
   std::vector<Input> inputs_;
   Output output_;
--- a/tests/integration/crossings_test.cpp
+++ b/tests/integration/crossings_test.cpp
@@ -1,5 +1,5 @@
-// Two events that cross, made to cross every time: `orchidgw` as it is run, stopped or held at a point that
-// is observed. The rows of docs/crossings.md name these tests.
+// Races between two events, forced to happen every time: the `orchidgw` process is stopped or blocked at a
+// point that the test observes. The rows of docs/crossings.md name these tests.
 #include <Poco/Net/ServerSocket.h>
 #include <gtest/gtest.h>
 #include <signal.h>
@@ -18,10 +18,12 @@
 
 using Kind = FrontAnswer::Kind;
 
-HttpReply full() { return reply(503, {{"Not-Begun", "1"}}); }
+HttpReply refuse_as_full() { return reply(503, {{"Not-Begun", "1"}}); }
 
-// Runs on until it is given up.
-HttpReply never_over(const HttpCall& call) { return call.method == "DELETE" ? reply(204) : reply(202); }
+// The query runs until it is cancelled.
+HttpReply run_until_cancelled(const HttpCall& call) {
+  return call.method == "DELETE" ? reply(204) : reply(202);
+}
 
 class Crossing : public RunningFixture {
  protected:
@@ -31,14 +33,13 @@
   }
 };
 
-// --- A process that stood still ---------------------------------------------------------------------------
-
-// A query that its only engine turned away waits in the module; the process stands still until well after the
-// module will try that engine again (a second). The question for changes that is out then gets its answer.
+// The process was stopped while a query that its only engine had refused waited in the module. Meanwhile the
+// retry became due (after a second) and the change log's answer arrived with the engine's drain: the drain
+// has to be read before the timer sends.
 TEST_F(Crossing, ADrainToldInAStallIsKnownBeforeATimerSends) {
   for (int trial = 0; trial < 5; ++trial) {
     std::atomic<bool> told{false};
-    HttpStandIn only([](const HttpCall&) { return full(); });
+    HttpStandIn only([](const HttpCall&) { return refuse_as_full(); });
     HttpStandIn log([&](const HttpCall& call) {
       while (!told) std::this_thread::sleep_for(std::chrono::milliseconds(1));
       HttpReply silent;
@@ -66,7 +67,7 @@
     const auto counters = controller->counters();
     controller.reset();
     ASSERT_TRUE(asked && held && answered && heard);
-    // It was so slow that it had given up that question before it stood still: once more.
+    // The process was so slow that the poll had timed out before the stop: try again.
     if (counters.count("change_log_ends.silent") > 0) continue;
     EXPECT_EQ(only.count("POST"), 1);
     EXPECT_GE(counters.at("loop.late_turns"), 1);
@@ -76,7 +77,7 @@
 }
 
 TEST_F(Crossing, AClientThatLeftInAStallIsSentNothingFor) {
-  HttpStandIn& only = engine([](const HttpCall&) { return full(); });
+  HttpStandIn& only = engine([](const HttpCall&) { return refuse_as_full(); });
   start();
   for (const bool closes : {true, false}) {
     const int before = only.count("POST");
@@ -97,9 +98,7 @@
   }
 }
 
-// --- Chosen, not yet sent ---------------------------------------------------------------------------------
-
-// The engine's machine takes no connection for a while: its line is full.
+// The engine's machine accepts no connection: the backlog is full.
 TEST_F(Crossing, ADrainToldWhileAConnectionComesUpTakesTheStartBack) {
   Poco::Net::ServerSocket slow;
   slow.bind(Poco::Net::SocketAddress("127.0.0.1:0"), true);
@@ -118,14 +117,14 @@
   EXPECT_EQ(client.receive().kind, Kind::kServed);
   EXPECT_EQ(next.count("POST"), 1);
   const auto counters = controller->counters();
-  EXPECT_EQ(counters.count("engine_ends.withdrawn"), 1U);  // not after the time in which it was to come up
+  EXPECT_EQ(counters.count("engine_ends.withdrawn"), 1U);  // not at the connect time-out
   EXPECT_EQ(counters.count("engine_ends.not_up_in_time"), 0U);
 }
 
 TEST_F(Crossing, AnEngineThatJoinsAndDrainsInOneAnswerIsSentNothing) {
   HttpStandIn brief(serve_all);
   HttpStandIn lasting(serve_all);
-  // Both changes come in one answer, while a query waits for any engine at all.
+  // Both changes come in one answer, while queries wait for any engine at all.
   std::atomic<bool> told{false};
   HttpStandIn log([&](const HttpCall& call) {
     if (call.path.find("since=1&") == std::string::npos) return reply(200, {}, R"({"seq":3,"results":[]})");
@@ -148,12 +147,11 @@
   EXPECT_EQ(brief.count("POST"), 0);
 }
 
-// --- Clients that go --------------------------------------------------------------------------------------
-
-// Statements fill their part of the memory: nothing new is taken. A close or an abort is seen all the same.
+// Statements fill their part of the memory, so reading from clients is paused. A close or an abort is still
+// noticed.
 TEST_F(Crossing, AClientThatGoesWhileItIsPausedIsSeen) {
-  HttpStandIn& only = engine(never_over);
-  options.memory_mb = 16;  // a sixteenth of it for statements
+  HttpStandIn& only = engine(run_until_cancelled);
+  options.memory_mb = 16;  // of which a sixteenth is for statements
   start();
   std::vector<std::unique_ptr<FrontClient>> going;
   for (int i = 0; i < 2; ++i) {
@@ -167,13 +165,13 @@
   const std::string statement = "select 1 -- " + std::string(60'000, 'x');
   std::vector<std::unique_ptr<FrontClient>> filling;
   for (int i = 0; i < 3; ++i) filling.push_back(std::make_unique<FrontClient>(controller->address()));
-  // Guards against one that connects once the memory is full: it waits to be accepted, and is never paused.
+  // Guards against a client that connects after the memory is full: it is not accepted, hence never paused.
   ASSERT_TRUE(controller->wait_for_counter("connections.accepted", 5));
   for (auto& client : filling)
     for (int tag = 1; tag <= 30; ++tag) client->invoke(tag, {{"service", "once"}}, statement);
   ASSERT_TRUE(controller->wait_for_counter("loop.reads_paused", 3));
   const long paused = controller->counters().at("loop.reads_paused");
-  for (auto& client : going) client->ping(2);  // not answered before there is room
+  for (auto& client : going) client->ping(2);  // not answered while reading is paused
   ASSERT_TRUE(controller->wait_for_counter("loop.reads_paused", paused + 2));
   going[0]->close();
   EXPECT_TRUE(only.wait_for("DELETE", going[0]->reference_of(1)));
@@ -181,9 +179,7 @@
   EXPECT_TRUE(only.wait_for("DELETE", going[1]->reference_of(1)));
 }
 
-// --- Closed by us -----------------------------------------------------------------------------------------
-
-// A request that was read has its answer before its client is closed for what it said besides.
+// A request that was read is answered before its connection is closed for invalid bytes behind it.
 TEST_F(Crossing, ARequestBesideBytesThatCanNotBeReadIsAnsweredBeforeTheClose) {
   HttpStandIn& only = engine([](const HttpCall& call) {
     std::this_thread::sleep_for(std::chrono::milliseconds(call.method == "GET" ? 300 : 0));
@@ -193,7 +189,7 @@
   FrontClient in_pieces(controller->address());
   in_pieces.invoke(1);
   ASSERT_TRUE(only.wait_for("POST", "/v2/q"));
-  in_pieces.raw("\xff\xff\xff\xff");  // no frame is so long
+  in_pieces.raw("\xff\xff\xff\xff");  // a frame length above the maximum
   EXPECT_EQ(in_pieces.receive().kind, Kind::kServed);
   EXPECT_EQ(in_pieces.receive().kind, Kind::kClosed);
   const auto counters = controller->counters();
@@ -205,18 +201,18 @@
   engine([begun = std::chrono::steady_clock::now()](const HttpCall& call) {
     std::this_thread::sleep_for(std::chrono::milliseconds(call.method == "GET" ? 240 : 0));
     const bool over = std::chrono::steady_clock::now() - begun > std::chrono::milliseconds(2800);
-    return over ? serve_all(call) : never_over(call);
+    return over ? serve_all(call) : run_until_cancelled(call);
   });
   start();
   FrontClient client(controller->address());
-  client.invoke(1, {{"effort", "2000.0"}});            // not overdue meanwhile
-  client.raw(std::string("\x00\x00\x10\x00half", 8));  // silent for 2 s: closed
+  client.invoke(1, {{"effort", "2000.0"}});            // long enough not to become overdue
+  client.raw(std::string("\x00\x00\x10\x00half", 8));  // incomplete for 2 s: closed
   EXPECT_EQ(client.receive().kind, Kind::kServed);
   EXPECT_EQ(client.receive().kind, Kind::kClosed);
 }
 
 TEST_F(Crossing, AClientThatIsToBeClosedAndLeavesIsSeen) {
-  HttpStandIn& only = engine(never_over);
+  HttpStandIn& only = engine(run_until_cancelled);
   start();
   FrontClient client(controller->address());
   client.invoke(1);
@@ -227,8 +223,6 @@
   expect_nothing_open();
 }
 
-// --- The watch --------------------------------------------------------------------------------------------
-
 TEST_F(Crossing, AChangeLogThatLostItsEventsIsListedAnew) {
   engine(serve_all);
   engine(serve_all);
@@ -244,7 +238,7 @@
       return silent;
     }
     if (n->fetch_add(1) == 0) return reply(200, {}, R"({"seq":9,"results":[]})");
-    std::this_thread::sleep_for(std::chrono::milliseconds(100));  // it holds the question
+    std::this_thread::sleep_for(std::chrono::milliseconds(100));  // a long poll
     return reply(200, {}, R"({"seq":2,"results":[]})");
   });
   options.change_log = log.address();
@@ -259,16 +253,14 @@
   EXPECT_EQ(engines[0]->count("POST"), 0);
 }
 
-// Guards against a silent watch that is noticed only when the drain it would have told is overdue.
+// Guards against noticing a silent watch only after the drain grace of a drain that it missed is over.
 TEST_F(Crossing, AShortDrainGraceShortensTheWatch) {
   options.drain_grace_us = 300'000;
   start();
   EXPECT_TRUE(change_log.server().wait_for("GET", "timeout=150"));
 }
 
-// --- Start ------------------------------------------------------------------------------------------------
-
-// The configuration is a pipe: the program is stopped, as it were, in the middle of reading it.
+// The configuration is a pipe, so that the program blocks in the middle of reading it.
 TEST_F(Crossing, AReloadAskedForDuringTheStartIsDoneAfterIt) {
   std::string directory = (std::filesystem::temp_directory_path() / "orchidgw-test-XXXXXX").string();
   ASSERT_NE(mkdtemp(directory.data()), nullptr);
@@ -280,7 +272,7 @@
   after.replace(after.find("127.0.0.1:2"), 11, "127.0.0.1:3");
   controller =
       std::make_unique<ControllerProcess>(std::map<std::string, std::string>{{"BALANCER_CONFIG", path}});
-  std::ofstream pipe(path);  // goes on once the program reads
+  std::ofstream pipe(path);  // returns once the program has opened it
   controller->signal(SIGHUP);
   std::ofstream(path + ".new") << after;
   std::filesystem::rename(path + ".new", path);
@@ -292,8 +284,8 @@
   std::filesystem::remove_all(directory);
 }
 
-// As `run` in deploy/balancer.toml starts it: a reload before the program's first instruction is passed over,
-// one while it serves is heard.
+// Started with SIGHUP ignored, as `run` in deploy/balancer.toml does: a reload signal before the program's
+// first instruction is lost, one while it serves takes effect.
 TEST_F(Crossing, AReloadIsHeardWhereTheShellIgnoresItsSignal) {
   const auto before = ::signal(SIGHUP, SIG_IGN);
   start();
@@ -305,8 +297,6 @@
   EXPECT_TRUE(next.server().wait_for("GET", "/changes"));
 }
 
-// --- Floods -----------------------------------------------------------------------------------------------
-
 TEST_F(Crossing, IdleClientsFillTheirPlacesWhileDiscoveryIsDownAndItsReturnIsHeard) {
   engine(serve_all);
   engine(serve_all);
@@ -315,7 +305,7 @@
   start();
   FrontClient early(controller->address());
   early.ping(1);
-  EXPECT_TRUE(early.receive().good);  // ready by the list of the start
+  EXPECT_TRUE(early.receive().good);  // ready by the configuration's engine list
   std::vector<std::unique_ptr<FrontClient>> idle;
   for (int i = 0; i < 60; ++i) idle.push_back(std::make_unique<FrontClient>(controller->address()));
   ASSERT_TRUE(controller->wait_for_counter("connections.accepted", 17));
--- a/tests/integration/engine_client_test.cpp
+++ b/tests/integration/engine_client_test.cpp
@@ -1,4 +1,4 @@
-// Calls to engines when descriptors run short: giving up and news go before new sends.
+// Calls to engines while few connections may be open: cancels and polls go before new starts.
 #include "net/engine_client.h"
 
 #include <gtest/gtest.h>
@@ -44,7 +44,7 @@
     client.send(std::move(call));
   }
 
-  // Runs the loop until the condition holds; each turn looks again.
+  // Runs the event loop until `done` returns true, which is called once a turn.
   void run_until(std::function<bool()> done) {
     condition = std::move(done);
     reactor.hurry();
@@ -73,14 +73,14 @@
                        [] { return false; },
                        [](core::CallId) { return Denial::kNone; },
                        {}};
-  // Eight connections, one of them not for new sends.
+  // Eight connections, one of them not for starts.
   net::EngineClient client{context, {8, 20'000'000}};
 };
 
 TEST_F(FewDescriptors, GivingUpGoesBeforeNewSends) {
   for (core::CallId id = 1; id <= 9; ++id) start(id, core::CallKind::kStart);
   EXPECT_EQ(client.connections(), 7U);  // two starts wait
-  start(10, core::CallKind::kNews);     // the eighth is for it
+  start(10, core::CallKind::kNews);     // uses the eighth
   EXPECT_EQ(client.connections(), 8U);
   start(11, core::CallKind::kNews);
   start(12, core::CallKind::kGiveUp);
@@ -90,7 +90,7 @@
   run_until([this] { return engine.count("DELETE") == 1; });
   EXPECT_EQ(engine.count("POST"), 7);
   EXPECT_EQ(engine.count("GET"), 1);
-  // Its connection is free now: news before the starts.
+  // The cancel has made room for another connection: the waiting poll is sent before the starts.
   run_until([this] { return engine.count("GET") == 2; });
   EXPECT_EQ(engine.count("POST"), 7);
   client.close_all();
@@ -106,7 +106,7 @@
     ends[ended.call] = ended.end;
   }
   ASSERT_EQ(ends.size(), 8U);
-  EXPECT_EQ(ends.at(1), core::ConnectionEnd::kNotUpInTime);  // its connection never got a turn to come up
+  EXPECT_EQ(ends.at(1), core::ConnectionEnd::kNotUpInTime);  // no turn ran that could complete its connect
   EXPECT_EQ(ends.at(8), core::ConnectionEnd::kNoDescriptor);
   client.close_all();
 }
@@ -119,14 +119,16 @@
   EXPECT_EQ(client.connections(), 0U);
 }
 
-// Guards against answers that stop short on a connection that stays open: the call has a minute left.
+// Guards against waiting for the rest of an answer that stopped in the middle while its connection stays
+// open: the call has a minute left.
 TEST_F(FewDescriptors, AnAnswerThatStopsShortIsNotWaitedFor) {
   start(1, core::CallKind::kStart, "half");
   run_until([this] { return !events.empty(); });
   EXPECT_EQ(std::get<core::CallEnded>(events.at(0)).end, core::ConnectionEnd::kSilent);
 }
 
-// Guards against a process that was stopped and then took every engine for silent, answers unread.
+// Guards against a process that was stopped and then takes every engine for silent, while their answers are
+// unread.
 TEST_F(FewDescriptors, TimeThatThisProcessLostIsNotTheEngines) {
   start(1, core::CallKind::kNews);
   run_until([this] { return engine.count("GET") == 1; });
@@ -149,8 +151,9 @@
 }
 
 TEST_F(FewDescriptors, AStartIsWithdrawnOnlyBeforeItsFirstByte) {
-  for (core::CallId id = 1; id <= 8; ++id) start(id, core::CallKind::kStart);  // the last one waits in line
-  client.withdraw(1);  // its connection has not come up in this turn
+  for (core::CallId id = 1; id <= 8; ++id)
+    start(id, core::CallKind::kStart);  // the last one waits for a connection
+  client.withdraw(1);                   // its connect is not complete in this turn
   client.withdraw(8);
   ASSERT_EQ(events.size(), 2U);
   for (const core::Event& event : events)
@@ -158,7 +161,7 @@
   EXPECT_EQ(std::get<core::CallEnded>(events[0]).call, 1U);
   EXPECT_EQ(std::get<core::CallEnded>(events[1]).call, 8U);
   run_until([this] { return engine.count("POST") == 6; });
-  client.withdraw(2);  // it runs: what became of it is not known
+  client.withdraw(2);  // was sent: has no effect
   EXPECT_EQ(events.size(), 2U);
   EXPECT_EQ(client.connections(), 6U);
   EXPECT_EQ(engine.count("POST"), 6);
