--- a/src/net/controller.cpp
+++ b/src/net/controller.cpp
@@ -373,7 +373,7 @@
   if (command->kind == admin::AdminCommand::Kind::kLevelSet) {
     if (!reducer_.levels().has_level(command->level)) return "error: no level of that name\n";
     post(core::LevelSet{command->level, now + command->hold});
-    log_.write(log::Level::kWarn, log::Component::kLimits, "level overridden by an operator",
+    log_.write(log::Level::kWarn, log::Component::kLimits, "level set by hand",
                {{"level", command->level}, {"seconds", command->hold / 1'000'000}});
     return "set\n";
   }
@@ -455,7 +455,7 @@
   const bool fleet_left = !fleet_ || fleet_->left(monotonic_now());
   if ((!nothing_open || !fleet_left) && now < shutdown_->end_by) return;
   log_.write(log::Level::kInfo,
-             nothing_open ? "no open queries or connections: stopping" : "shutdown time is over: stopping");
+             nothing_open ? "nothing is open any more: stopping" : "shutdown time is over: stopping");
   front_door_.close_all();
   engines_.close_all();
   change_log_.close();
--- a/src/net/engine_client.h
+++ b/src/net/engine_client.h
@@ -1,4 +1,5 @@
-// All connections to engines, up to a limit of connections. Takes calls and posts the outcome of each as an event.
+// All connections to engines, up to a limit of connections. Takes calls and posts the outcome of each as an
+// event.
 #pragma once
 
 #include <array>
--- a/src/net/engine_connection.cpp
+++ b/src/net/engine_connection.cpp
@@ -58,7 +58,7 @@
     const Denial denial = context_.start_denied(call_->call);
     if (denial != Denial::kNone) {
       context_.log.write(log::Level::kDebug, log::Component::kNet,
-                         std::string("start withdrawn before it was sent: ") + name_of(denial),
+                         std::string("start taken back: ") + name_of(denial),
                          {{"request", call_->reference}});
       return close(ConnectionEnd::kWithdrawn);
     }
--- a/src/net/engine_connection.h
+++ b/src/net/engine_connection.h
@@ -40,12 +40,12 @@
   bool connecting() const { return state_ == State::kConnecting; }
   std::optional<core::CallId> call() const;
 
-  void send(core::StartCall call);  // only on an idle connection
-  TimeUs due() const;               // when `check` is to be called
-  TimeUs next_check = 0;            // for the owner: when it calls `check` next; 0: never
-  void check(TimeUs now);           // closes the connection if a time limit has passed
-  void drop();                      // gives up the call and closes the connection
-  void close(core::ConnectionEnd end);
+  void send(core::StartCall call);      // only on an idle connection
+  TimeUs due() const;                   // when `check` is to be called
+  TimeUs next_check = 0;                // for the owner: when it calls `check` next; 0: never
+  void check(TimeUs now);               // closes the connection if a time limit has passed
+  void drop();                          // gives up the call and closes the connection
+  void close(core::ConnectionEnd end);  // reports `on_closed`; no effect on a closed connection
 
   void on_readable() override;
   void on_writable() override;
--- a/src/net/peer_link.h
+++ b/src/net/peer_link.h
@@ -26,13 +26,14 @@
 
   std::uint64_t id() const { return id_; }
   bool is_open() const { return channel_.is_open(); }
+  // Who the peer is, once the owner has accepted its Hello with `set_peer`.
   const std::optional<fleet::Hello>& peer() const { return peer_; }
   void set_peer(fleet::Hello hello) { peer_ = std::move(hello); }
   TimeUs opened_at() const { return opened_at_; }
 
   // False: the link is closed, or too much is unsent already; the message was dropped.
   bool send(const fleet::Message& message);
-  void close(const std::string& why);
+  void close(const std::string& why);  // calls `closed`; no effect on a closed link
 
   void on_readable() override;
   void on_writable() override;
