--- a/src/net/controller.cpp
+++ b/src/net/controller.cpp
@@ -14,7 +14,8 @@
 namespace {
 
 constexpr std::int64_t kBytesPerMb = 1024L * 1024;
-// Shares of the memory: one part in so many is for (docs/architecture.md adds them up)
+// Divisors of the memory and of the descriptors: one part in so many is for (docs/architecture.md adds them
+// up)
 constexpr std::int64_t kPoolDivisor = 4;         // buffers; work in progress may take half as much again
 constexpr std::int64_t kStatementsDivisor = 16;  // statements of open queries, and the same for their copies
 constexpr std::int64_t kFramesDivisor = 16;      // incomplete frames
