--- a/src/net/controller.h
+++ b/src/net/controller.h
@@ -1,4 +1,5 @@
-// The real controller: feeds the reducer with what the sockets report, in its order, and runs the effects.
+// The controller as a process: feeds the reducer with the events that the sockets report, in the event
+// queue's order, and runs the effects.
 #pragma once
 
 #include <functional>
@@ -32,66 +33,68 @@
 
 class Controller {
  public:
-  // What a reload puts in force: read anew and checked against the settings that are in force.
+  // Reads the configuration again for a reload and checks it against the settings in force (`running`).
+  // Throws if anything is wrong.
   using Reload = std::function<configuration::Configuration(const Settings& running)>;
 
-  // `listener`: a bound descriptor; clients can connect once `net::listen_on` was called for it. `reload`
-  // throws where anything is wrong.
+  // `listener`: a bound descriptor; clients can connect once `net::listen_on` was called for it.
   Controller(const configuration::Configuration& configuration, Descriptor listener, log::Logger& log,
              Reload reload);
 
-  // Throws std::runtime_error where it can't be opened.
+  // Opens the administration socket at `path`. Throws std::runtime_error if that fails.
   void open_admin(const std::string& path);
 
-  // Joins the fleet that the configuration names. `listener`: of a keeper, owned from here on; else -1.
-  // Throws what names the folder of a keeper's log and the reason.
+  // Joins the configuration's fleet, which it has to have. `listener`: a keeper's listening socket, of which
+  // this takes ownership, or -1. Throws an exception that names the folder of the keeper's log and the
+  // reason.
   void join_fleet(const configuration::Configuration& configuration, int listener);
 
-  // Keeps intents of what must not run twice in that folder. Throws what names it and the reason.
+  // From now on the intent to send a query that must not run twice is stored in `folder` before it is sent.
+  // Throws an exception that names the folder and the reason.
   void open_intents(const std::string& folder);
 
-  void run();  // until a planned restart is over
+  void run();  // returns when a graceful shutdown is complete
 
  private:
   Controller(const config::ControllerConfig& config, std::size_t fleet_descriptors, Descriptor listener,
              log::Logger& log, Reload reload);
   TimeUs turn();
-  TimeUs read_first();
+  TimeUs defer_turn();
   void post(core::Event event);
-  bool crowded() const;
-  void watch_wall_clock(TimeUs now);
-  void act(TimeUs now);
-  void act_on_news(TimeUs now);
-  void act_on(TimeUs now, PostedEvent posted);
+  bool low_on_memory() const;
+  void check_wall_clock(TimeUs now);
+  void process_events(TimeUs now);
+  void process_non_requests(TimeUs now);
+  void process_event(TimeUs now, PostedEvent posted);
   void apply(TimeUs now, core::Event event);
   void run_effect(core::SideEffect& effect);
   void on_signal(int signal);
   void reload();
-  std::string answer_admin(const std::string& line);
-  void put_in_force(const configuration::Configuration& fresh);
-  void put_limits_in_force(std::shared_ptr<const limits::LimitSet> set,
-                           std::shared_ptr<const service_level::LevelFile> levels);
-  TimeUs signal_sent_at() const;
+  std::string run_admin_command(const std::string& line);
+  void apply_configuration(const configuration::Configuration& loaded);
+  void apply_limits(std::shared_ptr<const limits::LimitSet> set,
+                    std::shared_ptr<const service_level::LevelFile> levels);
+  TimeUs earliest_signal_time() const;
   void begin_shutdown();
   void stop_if_done(TimeUs now);
-  TimeUs next_of_shutdown(TimeUs now) const;
-  void follow_fleet();
-  core::KeyVerdict verdict(const std::string& identity) const;
-  void send_promised(core::StartCall call);
-  bool drop_held(core::CallId call, core::ConnectionEnd as);
+  TimeUs next_shutdown_step(TimeUs now) const;
+  void apply_fleet_shares();
+  core::KeyVerdict key_status(const std::string& identity) const;
+  void send_after_intent(core::StartCall call);
+  bool drop_waiting_call(core::CallId call, core::ConnectionEnd end);
   Promises* promises() const { return fleet_ ? fleet_->promises() : nullptr; }
-  void note_demand(const core::RequestArrived& request);
+  void record_demand(const core::RequestArrived& request);
   void count_descriptors();
   void print_counters();
-  TimeUs wait_from(TimeUs now) const;
+  TimeUs time_to_wait(TimeUs now) const;
 
   log::Logger& log_;
   Reload reload_;
   Settings settings_;
   metrics::Counters counters_;
-  std::size_t buffers_most_;
+  std::size_t max_buffers_;
   BufferPool pool_;
-  std::size_t statement_bytes_most_;
+  std::size_t max_statement_bytes_;
   Reactor reactor_;
   Context context_;
   Attention attention_;
@@ -103,13 +106,13 @@
   Signals signals_;
   LoopTicker ticker_;
   std::unique_ptr<AdminSocket> admin_;  // null: off
-  std::unique_ptr<FleetMember> fleet_;  // null: alone
-  std::unique_ptr<Intents> intents_;    // null: none are kept
+  std::unique_ptr<FleetMember> fleet_;  // null: not in a fleet
+  std::unique_ptr<Intents> intents_;    // null: intents are not stored
   WallClockWatch wall_clock_;
-  std::optional<TimeUs>
-      reload_again_at_;  // a file could not be read for want of something that may come back
+  // Set when a reload failed because a system resource was missing, which may be temporary.
+  std::optional<TimeUs> reload_retry_at_;
   TimeUs created_at_;
-  std::optional<ShutdownSchedule> shutdown_;  // once it was asked for
+  std::optional<ShutdownSchedule> shutdown_;  // set once shutdown was requested
   bool listening_ = true;
 };
 
--- a/src/net/engine_client.h
+++ b/src/net/engine_client.h
@@ -1,4 +1,5 @@
-// All connections to engines, within their part of the descriptors: calls in, their ends out as events.
+// All connections to engines, up to a limit of connections. Takes calls and posts the outcome of each as an
+// event.
 #pragma once
 
 #include <array>
@@ -16,7 +17,7 @@
 namespace orchidgw::net {
 
 struct EngineClientLimits {
-  std::size_t connections = 1;  // at most
+  std::size_t connections = 1;  // the most that may be open
   TimeUs connect_timeout = 0;
 };
 
@@ -24,51 +25,56 @@
  public:
   EngineClient(Context& context, EngineClientLimits limits);
 
-  void start(core::StartCall call);
-  void drop(core::CallId call);
-  void withdraw(core::CallId call);                   // unless its first byte is on its way
-  void close_connection_of(core::AttemptId attempt);  // the idle one that it has
-  void check(TimeUs now);                             // time limits, calls that wait
-  std::optional<TimeUs> next_due() const { return due_.next_due(); }
+  // Sends the call, or queues it while no connection is to be had. Each call ends with exactly one
+  // CallAnswered or CallEnded event.
+  void send(core::StartCall call);
+  void drop(core::CallId call);  // ends the call; closes its connection if it has one
+  // Ends the call if none of its bytes were written; else has no effect.
+  void withdraw(core::CallId call);
+  void close_idle_connection(core::AttemptId attempt);  // closes the attempt's connection if it is idle
+  void check(TimeUs now);  // enforces time limits and sends waiting calls; once a turn
+  std::optional<TimeUs> next_due() const { return timers_.next_due(); }
   std::size_t connections() const { return connections_.size(); }
   void close_all();
 
-  void answered(EngineConnection& connection, core::CallId call, core::CallAnswer answer) override;
-  void begun(EngineConnection& connection) override { watch(connection); }
-  void ended(EngineConnection& connection, core::ConnectionEnd end,
-             std::optional<core::CallId> call) override;
+  void on_answer(EngineConnection& connection, core::CallId call, core::CallAnswer answer) override;
+  void on_answer_begun(EngineConnection& connection) override { schedule_check(connection); }
+  void on_closed(EngineConnection& connection, core::ConnectionEnd end,
+                 std::optional<core::CallId> call) override;
 
  private:
   using ConnectionId = std::uint64_t;
-  // In the order in which they get a descriptor: giving up, news and pages, new sends.
-  enum Line { kGiveUps, kNews, kStarts, kLines };
+  // In the order in which waiting calls get a connection: cancels and priority changes, polls and pages,
+  // starts.
+  enum Queue { kControl, kReads, kStarts, kQueueCount };
   struct Waiting {
     core::StartCall call;
-    TimeUs until = 0;
+    TimeUs deadline = 0;
   };
 
-  static Line line_of(core::CallKind kind);
-  bool place(core::StartCall& call);  // on its attempt's connection or a new one; false if none can be had
-  bool reuse(core::StartCall& call);
-  bool connect(core::StartCall& call);
-  bool may_open(Line line) const;
-  void place_waiting();
+  static Queue queue_of(core::CallKind kind);
+  // On the connection of its attempt or on a new one; false if none can be had.
+  bool try_send(core::StartCall& call);
+  bool send_on_idle_connection(core::StartCall& call);
+  bool send_on_new_connection(core::StartCall& call);
+  bool may_connect(Queue queue) const;
+  void send_waiting();
   void expire_waiting(TimeUs now);
-  void watch(EngineConnection& connection);
-  void count_waiting();
-  bool end_waiting(core::CallId call, core::ConnectionEnd end);  // false: it does not wait
+  void schedule_check(EngineConnection& connection);
+  void update_waiting_count();
+  bool end_waiting(core::CallId call, core::ConnectionEnd end);  // false: the call is not waiting
   void end_call(core::CallId call, core::ConnectionEnd end);
 
   Context& context_;
   EngineClientLimits limits_;
   std::map<ConnectionId, std::shared_ptr<EngineConnection>> connections_;
-  // Guards against a late second copy of an answer: bytes that come after their answer meet no other query,
-  // as only the calls of one attempt share a connection.
-  std::unordered_map<core::AttemptId, ConnectionId> idle_;
-  std::unordered_map<core::CallId, ConnectionId> calls_;
-  std::array<std::deque<Waiting>, kLines> waiting_;
-  core::TimerQueue<ConnectionId> due_;
-  ConnectionId last_id_ = 0;
+  // By attempt. Guards against a late duplicate of an answer: only the calls of one attempt share a
+  // connection, so bytes behind an answer are never taken for the answer to another query.
+  std::unordered_map<core::AttemptId, ConnectionId> idle_connections_;
+  std::unordered_map<core::CallId, ConnectionId> call_connections_;
+  std::array<std::deque<Waiting>, kQueueCount> waiting_;
+  core::TimerQueue<ConnectionId> timers_;
+  ConnectionId last_connection_id_ = 0;
 };
 
 }  // namespace orchidgw::net
--- a/src/net/intents.h
+++ b/src/net/intents.h
@@ -1,5 +1,6 @@
-// Sends wait here until their intent is durable; the loop goes on with all else. A thread of its own commits
-// what has gathered, so that one wait of the disk serves all that came meanwhile (group commit).
+// Holds calls back until the intent to send them is durable; the event loop goes on meanwhile. A thread
+// commits all intents that have gathered in one transaction (group commit), so that one disk wait serves all
+// of them.
 #pragma once
 
 #include <condition_variable>
@@ -22,16 +23,20 @@
 
 class Intents final : public ChannelHandler {
  public:
-  // `send`: its intent is durable. Throws what names the folder and the reason.
+  // `send`: called for each call whose intent is durable. Throws an exception that names the folder and the
+  // reason.
   Intents(Context& context, const std::string& folder, std::function<void(core::StartCall)> send);
   ~Intents() override;
 
-  core::KeyVerdict verdict(const std::string& identity) const;
-  void hold(core::StartCall call);
-  bool drop(core::CallId call);  // says nothing of its end; false: it is not held
-  void check();                  // once a turn: forgets what is over
-  std::size_t found() const { return found_; }
-  void close();
+  // Whether a query with that identity may be accepted.
+  core::KeyVerdict key_status(const std::string& identity) const;
+  // Stores the intent, then passes the call to `send`; posts CallEnded with kNoIntent if it can't be stored.
+  void send_when_stored(core::StartCall call);
+  bool drop(core::CallId call);  // posts no event; false: the call does not wait here
+  void check();                  // once a turn: erases intents that have expired
+  // How many intents the store held at the start.
+  std::size_t loaded_count() const { return loaded_count_; }
+  void close();  // stops passing calls to `send`
 
   void on_readable() override;
   void on_writable() override {}
@@ -39,33 +44,33 @@
   void on_failure(const char* what) override;
 
  private:
-  struct Held {
+  struct WaitingCall {
     core::StartCall call;
     std::uint64_t serial = 0;
   };
-  struct Outcome {  // of all serials since the one before
-    std::uint64_t up_to = 0;
+  struct StoreResult {  // for all serials after those of the result before
+    std::uint64_t last_serial = 0;
     bool stored = false;
   };
-  void run();
+  void run_store_thread();
 
   Context& context_;
   std::function<void(core::StartCall)> send_;
   store::IntentStore store_;
-  std::size_t found_ = 0;
-  recovery::KeyBook book_;
-  std::deque<Held> held_;  // in the order of their serials
-  TimeUs look_at_ = 0;
-  bool failing_ = false;
+  std::size_t loaded_count_ = 0;
+  recovery::KeyBook key_book_;
+  std::deque<WaitingCall> waiting_;  // by ascending serial
+  TimeUs check_at_ = 0;
+  bool store_failing_ = false;
   Wake wake_;
   std::unique_ptr<Channel> channel_;
 
-  std::mutex mutex_;
-  std::condition_variable changed_;
-  std::vector<store::Intent> put_;
-  std::vector<std::uint64_t> erase_;
-  std::vector<Outcome> outcomes_;
-  std::string why_;
+  std::mutex mutex_;  // guards the members below, except the thread
+  std::condition_variable work_available_;
+  std::vector<store::Intent> to_store_;
+  std::vector<std::uint64_t> to_erase_;
+  std::vector<StoreResult> results_;
+  std::string error_;
   bool stop_ = false;
   std::thread thread_;
 };
--- a/src/net/keeper_thread.h
+++ b/src/net/keeper_thread.h
@@ -1,5 +1,6 @@
-// A keeper's own thread: the agreed log, whose store blocks while the disk writes, and the ledger that comes
-// of it. The loop hands messages in and takes messages out; between them is one queue each way, bounded.
+// A keeper's thread. Runs the agreed log, whose store blocks while the disk writes, and the ledger that the
+// log's entries build. The event loop posts inputs and takes outputs through one bounded queue in each
+// direction.
 #pragma once
 
 #include <condition_variable>
@@ -20,83 +21,85 @@
 
 class KeeperThread {
  public:
-  struct Asked {
+  struct LeaseRequest {  // link 0: of this controller itself
     fleet::LinkId link = 0;
     budget::Ask ask;
   };
-  struct KeysAsked {
+  struct KeyRequest {  // link 0: likewise
     fleet::LinkId link = 0;
     promises::KeyAsk ask;
   };
-  struct LinkGone {
+  struct LinkClosed {
     fleet::LinkId link = 0;
   };
-  struct Greeted {  // by another keeper
+  struct HelloReceived {  // from another keeper
     fleet::KeeperId by = 0;
     std::vector<fleet::KeeperId> begun;
-    fleet::LogStanding at;
+    fleet::LogStanding log_standing;
   };
-  using Input = std::variant<fleet::LogMessage, Asked, KeysAsked, LinkGone, Greeted, budget::Terms>;
+  using Input =
+      std::variant<fleet::LogMessage, LeaseRequest, KeyRequest, LinkClosed, HelloReceived, budget::Terms>;
 
-  struct Standing {  // of this keeper, as of now; see recovery::DiskClaim and VoteFloor
-    bool keeps = false;
-    std::vector<fleet::KeeperId> begun;      // whom it knows to have begun
-    std::vector<fleet::KeeperId> waits_for;  // whose greeting it needs before it may begin, or vote
-    fleet::LogStanding at;
-    bool operator==(const Standing&) const = default;
+  struct KeeperState {          // current state of this keeper; see recovery::DiskClaim and VoteFloor
+    bool store_in_use = false;  // the keeper is running
+    std::vector<fleet::KeeperId> begun;            // keepers that it knows to have a log
+    std::vector<fleet::KeeperId> awaited_keepers;  // whose Hello it needs before it may start or vote
+    fleet::LogStanding log_standing;
+    bool operator==(const KeeperState&) const = default;
   };
   struct Output {
     std::vector<fleet::LogMessage> to_keepers;
     std::vector<fleet::KeeperRole::Reply> replies;
-    std::vector<std::string> notes;  // for the log
-    Standing standing;
+    std::vector<std::string> log_lines;  // to be written to the log
+    KeeperState state;
   };
 
-  // Opens the store. Throws what names the folder and the reason.
+  // Opens the store. `own`: the terms of this keeper's file. Throws an exception that names the folder and
+  // the reason.
   KeeperThread(const keeper::Options& options, const std::string& folder, const store::StoredOwner& self,
                const budget::Terms& own);
   ~KeeperThread();
   KeeperThread(const KeeperThread&) = delete;
   KeeperThread& operator=(const KeeperThread&) = delete;
 
-  // Readable while there is something to take; `take` clears it. Owned by the caller. Throws SystemCallError.
+  // Readable while there is output; `take` clears it. The caller owns the descriptor. Throws SystemCallError.
   int wake_descriptor() const { return wake_.duplicate(); }
-  bool post(Input input);  // false: the queue is full, the message is left out
-  Output take();
-  std::string status() const;  // as of a moment ago
+  bool post(Input input);      // false: the queue is full, the input was dropped
+  Output take();               // what has gathered since the last call, and the current state
+  std::string status() const;  // lines for operators, up to 200 ms old
 
  private:
   using Verdict = recovery::DiskClaim::Verdict;
 
   void run();
-  void take_in(std::vector<Input>& inputs);
-  void give_out();
+  void process_inputs(std::vector<Input>& inputs);
+  void publish_output();
   void open_store();
-  void begin_keeper();
+  void start_keeper();
   void store_claim();
-  bool make_keeper();
-  void look_if_behind();
+  bool try_start_keeper();
+  void check_if_behind();
 
   keeper::Options options_;
   store::StoredOwner self_;
-  std::optional<recovery::DiskClaim> claim_;
-  recovery::VoteFloor floor_;
-  bool behind_ = false;           // said so
-  Verdict said_ = Verdict::kMay;  // last in a note
-  bool failed_ = false;           // the store did
+  std::optional<recovery::DiskClaim> disk_claim_;
+  recovery::VoteFloor vote_floor_;
+  bool reported_behind_ = false;              // that the log is behind was logged
+  Verdict reported_verdict_ = Verdict::kMay;  // the last that was logged
+  bool store_failed_ = false;
   std::string folder_;
   std::unique_ptr<store::LogStore> store_;
   std::unique_ptr<keeper::Keeper> keeper_;
   std::unique_ptr<fleet::KeeperRole> role_;
-  budget::Terms own_;
-  TimeUs retry_at_ = 0;   // of a keeper whose store failed
-  TimeUs status_at_ = 0;  // when the status is written next
-  std::vector<std::string> notes_;
-  bool led_ = false;
+  budget::Terms own_terms_;
+  TimeUs retry_at_ = 0;        // of opening a store that failed
+  TimeUs next_status_at_ = 0;  // when `status_` is written next
+  std::vector<std::string> log_lines_;
+  bool was_leader_ = false;
   Wake wake_;
 
-  mutable std::mutex mutex_;
-  std::condition_variable changed_;
+  mutable std::mutex mutex_;  // guards the members below, except the thread
+  std::condition_variable input_available_;
   std::vector<Input> inputs_;
   Output output_;
   std::string status_;
--- a/src/net/promises.h
+++ b/src/net/promises.h
@@ -1,5 +1,5 @@
-// Sends of what must not run twice wait here until the keepers of the fleet have promised that nobody else
-// sends it; the loop goes on with all else. All that a turn wants goes in one message.
+// Holds back calls of queries that must not run twice until the fleet's keepers have promised that no other
+// controller sends the query; the event loop goes on meanwhile. All keys that a turn wants go in one message.
 #pragma once
 
 #include <functional>
@@ -14,31 +14,35 @@
 
 class Promises {
  public:
-  // `send`: the promise is there. `ask`: to the keeper that leads, or that may know who does.
+  // `send`: called for each call whose key was promised. `ask`: sends a request to the leading keeper, or to
+  // one that may know the leader.
   Promises(Context& context, promises::MemberKey self, std::function<void(core::StartCall)> send,
            std::function<void(const promises::KeyAsk&)> ask);
 
-  core::KeyVerdict verdict(const std::string& identity, TimeUs now) const;
-  void hold(core::StartCall call, TimeUs now);
-  bool drop(core::CallId call);  // says nothing of its end; false: it is not held
-  void free(core::FreeKey key);
+  // Whether a query with that identity may be accepted.
+  core::KeyVerdict key_status(const std::string& identity, TimeUs now) const;
+  // Requests the key, then passes the call to `send`; posts CallEnded if the key is not granted.
+  void send_when_promised(core::StartCall call, TimeUs now);
+  bool drop(core::CallId call);         // posts no event; false: the call does not wait here
+  void release_key(core::FreeKey key);  // nothing of the query ran: others may have its key
 
-  void check(TimeUs now, TimeUs term);  // once a turn: asks, gives up
+  // Once a turn: sends requests and gives up calls that waited too long. `term`: of a lease.
+  void check(TimeUs now, TimeUs term);
   std::optional<TimeUs> next_due() const { return holder_.next_due(); }
-  void told(TimeUs now, const promises::KeyTold& told);
-  std::string status() const;
+  void on_answer(TimeUs now, const promises::KeyTold& told);
+  std::string status() const;  // a line for operators
 
  private:
-  void act(const std::vector<promises::KeyHolder::Verdict>& verdicts);
+  void apply_verdicts(const std::vector<promises::KeyHolder::Verdict>& verdicts);
 
   Context& context_;
   std::function<void(core::StartCall)> send_;
   std::function<void(const promises::KeyAsk&)> ask_;
   promises::KeyHolder holder_;
-  std::map<core::CallId, core::StartCall> held_;
-  std::uint64_t given_ = 0;
-  std::uint64_t rest_ = 0;
-  std::uint64_t not_now_ = 0;
+  std::map<core::CallId, core::StartCall> waiting_;
+  std::uint64_t granted_ = 0;
+  std::uint64_t held_elsewhere_ = 0;
+  std::uint64_t unavailable_ = 0;
 };
 
 }  // namespace orchidgw::net
