--- a/src/limits/adaptive_bound.cpp
+++ b/src/limits/adaptive_bound.cpp
@@ -6,39 +6,42 @@
 namespace orchidgw::limits {
 namespace {
 
-constexpr int kAnswersPerStep = 16;     // one answer alone says nothing: plans and data differ
-constexpr double kUsualWeight = 0.05;   // of one step in the long mean
-constexpr double kTolerated = 1.5;      // x the usual before the bound shrinks
-constexpr double kGradientLeast = 0.5;  // one step takes no more than half of what is over
-constexpr double kSmooth = 0.3;         // part of the way that one step goes
-constexpr double kSlowWeight = 0.005;   // the same while answers are slow, lest a jam pass for usual
-constexpr double kUsedEnough = 0.5;     // of the bound: below that nothing is learned of its height
+constexpr int kAnswersPerAdjustment = 16;   // one answer alone says nothing: plans and data differ
+constexpr double kLongMeanWeight = 0.05;    // of one step in the long mean
+constexpr double kToleratedSlowdown = 1.5;  // x the usual before the bound shrinks
+constexpr double kMinGradient = 0.5;        // one step takes no more than half of what is over
+constexpr double kSmoothing = 0.3;          // part of the way that one step goes
+constexpr double kLongMeanWeightWhileSlow =
+    0.005;                               // the same while answers are slow, lest a jam pass for usual
+constexpr double kMinUtilization = 0.5;  // of the bound: below that nothing is learned of its height
 
 }  // namespace
 
-AdaptiveBound::AdaptiveBound(const Concurrency& terms) : terms_(terms), bound_(terms.most) {}
+AdaptiveBound::AdaptiveBound(const Concurrency& concurrency)
+    : concurrency_(concurrency), bound_(concurrency.most) {}
 
-void AdaptiveBound::change(const Concurrency& terms) {
-  terms_ = terms;
-  bound_ = std::clamp<double>(bound_, terms.least, terms.most);
+void AdaptiveBound::reconfigure(const Concurrency& concurrency) {
+  concurrency_ = concurrency;
+  bound_ = std::clamp<double>(bound_, concurrency.least, concurrency.most);
 }
 
-void AdaptiveBound::learn(double stretch, int under_way) {
-  ++answers_;
-  recent_ += (stretch - recent_) / answers_;
-  if (answers_ >= kAnswersPerStep) step(under_way);
+void AdaptiveBound::add_answer(double latency_ratio, int under_way) {
+  ++answers_since_adjustment_;
+  recent_mean_ += (latency_ratio - recent_mean_) / answers_since_adjustment_;
+  if (answers_since_adjustment_ >= kAnswersPerAdjustment) adjust(under_way);
 }
 
-void AdaptiveBound::step(int under_way) {
-  if (usual_ <= 0) usual_ = recent_;
-  const double gradient = std::clamp(kTolerated * usual_ / std::max(recent_, 1e-9), kGradientLeast, 1.0);
-  const bool used = under_way >= kUsedEnough * bound_;
-  const double wanted = bound_ * gradient + (gradient >= 1 && used ? std::sqrt(bound_) : 0);
-  bound_ = std::clamp<double>(bound_ + kSmooth * (wanted - bound_), terms_.least, terms_.most);
+void AdaptiveBound::adjust(int under_way) {
+  if (long_mean_ <= 0) long_mean_ = recent_mean_;
+  const double gradient =
+      std::clamp(kToleratedSlowdown * long_mean_ / std::max(recent_mean_, 1e-9), kMinGradient, 1.0);
+  const bool utilized = under_way >= kMinUtilization * bound_;
+  const double target = bound_ * gradient + (gradient >= 1 && utilized ? std::sqrt(bound_) : 0);
+  bound_ = std::clamp<double>(bound_ + kSmoothing * (target - bound_), concurrency_.least, concurrency_.most);
   // What answers take while they are slow is not what they usually take; but it may become so.
-  usual_ += (gradient >= 1 ? kUsualWeight : kSlowWeight) * (recent_ - usual_);
-  recent_ = 0;
-  answers_ = 0;
+  long_mean_ += (gradient >= 1 ? kLongMeanWeight : kLongMeanWeightWhileSlow) * (recent_mean_ - long_mean_);
+  recent_mean_ = 0;
+  answers_since_adjustment_ = 0;
 }
 
 }  // namespace orchidgw::limits
--- a/src/limits/adaptive_bound.h
+++ b/src/limits/adaptive_bound.h
@@ -1,6 +1,6 @@
-// A bound on queries under way that follows latency. After the gradient of TCP Vegas (Brakmo, Peterson 1995)
-// as it is used for servers: the long mean of how long answers take, over the short one, says how far the
-// bound is too high; where the short mean is no longer than usual the bound grows by the root of itself.
+// A concurrency limit that adapts to latency. Based on the gradient of TCP Vegas (Brakmo, Peterson 1995) as
+// it is used for servers: the ratio of the long-term mean latency to the recent mean tells how far the bound
+// has to come down; while the recent mean is no higher than usual, the bound grows by its own square root.
 #pragma once
 
 #include "limits/route.h"
@@ -9,23 +9,24 @@
 
 class AdaptiveBound {
  public:
-  explicit AdaptiveBound(const Concurrency& terms);
+  explicit AdaptiveBound(const Concurrency& concurrency);
 
-  // New terms; what was learned stays, the bound is brought within them.
-  void change(const Concurrency& terms);
+  // Keeps what was learned from latencies and clamps the bound to the new least and most.
+  void reconfigure(const Concurrency& concurrency);
 
   int bound() const { return static_cast<int>(bound_); }
-  // An answer took `stretch` times what was expected (any unit, the same each time), with so many under way.
-  void learn(double stretch, int under_way);
+  // Records an answer that took `latency_ratio` times the expected time (any unit, but always the same one)
+  // while `under_way` queries were under way.
+  void add_answer(double latency_ratio, int under_way);
 
  private:
-  void step(int under_way);
+  void adjust(int under_way);
 
-  Concurrency terms_;
+  Concurrency concurrency_;
   double bound_;
-  double usual_ = 0;   // long mean; 0: nothing learned
-  double recent_ = 0;  // mean of the answers since the last step
-  int answers_ = 0;
+  double long_mean_ = 0;    // of latency ratios; 0: no adjustment yet
+  double recent_mean_ = 0;  // of the answers since the last adjustment
+  int answers_since_adjustment_ = 0;
 };
 
 }  // namespace orchidgw::limits
--- a/src/limits/check.cpp
+++ b/src/limits/check.cpp
@@ -14,23 +14,23 @@
 
 class Checker {
  public:
-  Checker(const Settings& settings, const LimitFile& file, std::size_t routes_most)
-      : settings_(settings), file_(file), routes_most_(routes_most) {}
+  Checker(const Settings& settings, const LimitFile& file, std::size_t max_routes)
+      : settings_(settings), file_(file), max_routes_(max_routes) {}
 
   std::vector<Fault> run() {
-    if (file_.routes.size() > routes_most_) {
-      fault(file_.routes[routes_most_].place, "routes",
-            "more routes than the memory limit allows: " + std::to_string(routes_most_) + " at most");
+    if (file_.routes.size() > max_routes_) {
+      fault(file_.routes[max_routes_].place, "routes",
+            "more routes than the memory limit allows: " + std::to_string(max_routes_) + " at most");
       return std::move(faults_);
     }
     check_names();
     for (std::size_t i = 0; i < file_.routes.size(); ++i) check_match(i);
-    check_alike();
-    if (faults_.empty()) check_reach();
+    check_duplicate_matches();
+    if (faults_.empty()) check_unreachable_routes();
     check_bounds_of_defaults();
     for (std::size_t i = 0; i < file_.routes.size(); ++i) check_route(i);
-    check_allowance();
-    if (faults_.empty()) check_closed();
+    check_retry_budgets();
+    if (faults_.empty()) check_closed_classes();
     std::stable_sort(faults_.begin(), faults_.end(),
                      [](const Fault& a, const Fault& b) { return a.place.line < b.place.line; });
     return std::move(faults_);
@@ -45,7 +45,7 @@
     return "routes[" + std::to_string(i) + "]" + field;
   }
 
-  const ClassSettings* class_named(const std::string& name) const {
+  const ClassSettings* find_class(const std::string& name) const {
     for (const ClassSettings& c : settings_.classes)
       if (c.name == name) return &c;
     return nullptr;
@@ -78,7 +78,7 @@
   void check_match(std::size_t i) {
     const Match& match = file_.routes[i].match;
     if (match.class_name) {
-      const ClassSettings* c = class_named(match.class_name->value);
+      const ClassSettings* c = find_class(match.class_name->value);
       if (c == nullptr) {
         fault(match.class_name->place, path_of(i, ".match.class"),
               "the settings have no class '" + match.class_name->value + "'");
@@ -88,8 +88,8 @@
       }
     }
     if (!match.tenant || settings_.tenants.empty()) return;
-    const auto named = [&](const TenantSettings& t) { return t.name == match.tenant->value; };
-    if (std::none_of(settings_.tenants.begin(), settings_.tenants.end(), named))
+    const auto has_name = [&](const TenantSettings& t) { return t.name == match.tenant->value; };
+    if (std::none_of(settings_.tenants.begin(), settings_.tenants.end(), has_name))
       fault(match.tenant->place, path_of(i, ".match.tenant"),
             "the settings have no tenant '" + match.tenant->value + "'");
   }
@@ -102,7 +102,7 @@
   }
 
   // Two routes that match alike: the order between them would hang on their place in the file.
-  void check_alike() {
+  void check_duplicate_matches() {
     std::unordered_map<std::string, const Route*> seen;
     std::unordered_map<std::string, unsigned> keys;  // bit 0 any, 1 given, 2 absent
     for (const Route& route : file_.routes)
@@ -111,8 +111,8 @@
       const Route& route = file_.routes[i];
       const std::string match = signature(route.match);
       const auto key = static_cast<char>('0' + static_cast<int>(route.match.key_or_any()));
-      const auto [it, fresh] = seen.try_emplace(match + '\n' + key, &route);
-      if (!fresh)
+      const auto [it, inserted] = seen.try_emplace(match + '\n' + key, &route);
+      if (!inserted)
         fault(route.place, path_of(i, ".match"),
               "never matches: route '" + it->second->name + "', line " +
                   std::to_string(it->second->place.line) + ", matches the same");
@@ -122,43 +122,45 @@
     }
   }
 
-  bool unconditional(const Match& match) const {
+  bool matches_all_queries(const Match& match) const {
     return !match.table && match.key_or_any() == KeyMatch::kAny;
   }
 
   // Routes of which other, more specific ones leave nothing.
-  void check_reach() {
-    std::unordered_set<std::string> whole;  // class \n tenant that are taken wholly by routes that state both
-    std::unordered_set<std::string> whole_classes;
+  void check_unreachable_routes() {
+    std::unordered_set<std::string>
+        matched_pairs;  // class \n tenant that are taken wholly by routes that state both
+    std::unordered_set<std::string> fully_matched_classes;
     for (const Route& route : file_.routes) {
-      if (!unconditional(route.match) || !route.match.class_name) continue;
+      if (!matches_all_queries(route.match) || !route.match.class_name) continue;
       if (route.match.tenant) {
-        whole.insert(route.match.class_name->value + '\n' + route.match.tenant->value);
+        matched_pairs.insert(route.match.class_name->value + '\n' + route.match.tenant->value);
       } else {
-        whole_classes.insert(route.match.class_name->value);
+        fully_matched_classes.insert(route.match.class_name->value);
       }
     }
-    const auto all_tenants_taken = [&](const std::string& class_name) {
+    const auto all_tenants_matched = [&](const std::string& class_name) {
       return !settings_.tenants.empty() &&
              std::all_of(settings_.tenants.begin(), settings_.tenants.end(), [&](const TenantSettings& t) {
-               return whole.count(class_name + '\n' + t.name) > 0;
+               return matched_pairs.count(class_name + '\n' + t.name) > 0;
              });
     };
-    const auto class_taken = [&](const std::string& name) {
-      return whole_classes.count(name) > 0 || all_tenants_taken(name);
+    const auto class_matched = [&](const std::string& name) {
+      return fully_matched_classes.count(name) > 0 || all_tenants_matched(name);
     };
     for (std::size_t i = 0; i < file_.routes.size(); ++i) {
       const Match& match = file_.routes[i].match;
-      bool taken = false;
+      bool unreachable = false;
       if (match.class_name) {
-        taken = !match.tenant && all_tenants_taken(match.class_name->value);
+        unreachable = !match.tenant && all_tenants_matched(match.class_name->value);
       } else {
-        taken = std::all_of(settings_.classes.begin(), settings_.classes.end(), [&](const ClassSettings& c) {
-          return class_taken(c.name) ||
-                 (match.tenant && whole.count(c.name + '\n' + match.tenant->value) > 0);
-        });
+        unreachable =
+            std::all_of(settings_.classes.begin(), settings_.classes.end(), [&](const ClassSettings& c) {
+              return class_matched(c.name) ||
+                     (match.tenant && matched_pairs.count(c.name + '\n' + match.tenant->value) > 0);
+            });
       }
-      if (taken)
+      if (unreachable)
         fault(file_.routes[i].place, path_of(i, ".match"),
               "never matches: more specific routes take all of its queries");
     }
@@ -177,42 +179,43 @@
 
   void check_route(std::size_t i) {
     const Route& route = file_.routes[i];
-    check_bounds(settings_, {path_of(i), &route.bounds, effective(route), classes_of(route.match)}, faults_);
+    check_bounds(settings_, {path_of(i), &route.bounds, effective_bounds(route), classes_of(route.match)},
+                 faults_);
   }
 
   // Further attempts of all routes together against the rule that rations them (rule 7).
-  void check_allowance() {
-    if (file_.retries) check_retries(file_.retries->value, file_.retries->place, "retries");
+  void check_retry_budgets() {
+    if (file_.retries) check_retry_budget(file_.retries->value, file_.retries->place, "retries");
     if (!settings_.rules.attempts_rationed) return;
     double floors = 0;
-    const auto one = [&](const Bounds& bounds, const std::string& path) {
+    const auto check_floor = [&](const Bounds& bounds, const std::string& path) {
       if (!bounds.retries) return;
-      check_retries(bounds.retries->value, bounds.retries->place, path + ".retries");
+      check_retry_budget(bounds.retries->value, bounds.retries->place, path + ".retries");
       floors += bounds.retries->value.floor;
     };
-    one(file_.defaults, "defaults");
-    for (std::size_t i = 0; i < file_.routes.size(); ++i) one(file_.routes[i].bounds, path_of(i));
+    check_floor(file_.defaults, "defaults");
+    for (std::size_t i = 0; i < file_.routes.size(); ++i) check_floor(file_.routes[i].bounds, path_of(i));
     if (!file_.retries && floors > settings_.rules.extra_free + 1e-9)
-      fault(first_retries(), "retries",
-            "the floors of all routes add up to " + short_number(floors) + ", over the rule's " +
-                short_number(settings_.rules.extra_free) + ": state retries over all routes");
+      fault(first_retries_place(), "retries",
+            "the floors of all routes add up to " + format_number(floors) + ", over the rule's " +
+                format_number(settings_.rules.extra_free) + ": state retries over all routes");
   }
 
-  void check_retries(const RetryShare& retries, Place place, const std::string& path) {
+  void check_retry_budget(const RetryShare& retries, Place place, const std::string& path) {
     const Rules& rules = settings_.rules;
     if (!rules.attempts_rationed) return;
     if (retries.share > rules.extra_share + 1e-9)
       fault(place, path + ".share",
-            "over the rule: a share of " + short_number(rules.extra_share) + " at most");
+            "over the rule: a share of " + format_number(rules.extra_share) + " at most");
     const auto window = static_cast<double>(std::max<TimeUs>(retries.window, 1));
     const double windows = std::ceil(static_cast<double>(rules.extra_window) / window);
     if (retries.floor * std::max(windows, 1.0) > rules.extra_free + 1e-9)
       fault(place, path + ".floor",
-            "over the rule: " + short_number(rules.extra_free) + " at most in any " +
-                time_text(rules.extra_window));
+            "over the rule: " + format_number(rules.extra_free) + " at most in any " +
+                format_time(rules.extra_window));
   }
 
-  Place first_retries() const {
+  Place first_retries_place() const {
     if (file_.defaults.retries) return file_.defaults.retries->place;
     for (const Route& route : file_.routes)
       if (route.bounds.retries) return route.bounds.retries->place;
@@ -224,13 +227,13 @@
   }
 
   // A class that no open route is left to: its queries would all be refused.
-  void check_closed() {
+  void check_closed_classes() {
     for (const ClassSettings& c : settings_.classes) {
       bool open = false;
-      bool whole = false;  // a route takes all of the class that others leave
+      bool class_fully_matched = false;  // a route takes all of the class that others leave
       Place place;
       std::string path;
-      const auto look = [&](const Bounds& bounds, const std::string& at) {
+      const auto inspect = [&](const Bounds& bounds, const std::string& at) {
         if (!closed(bounds)) {
           open = true;
         } else if (path.empty()) {
@@ -242,44 +245,45 @@
       for (std::size_t i = 0; i < file_.routes.size(); ++i) {
         const Route& route = file_.routes[i];
         if (!route.match.class_name || route.match.class_name->value != c.name) continue;
-        whole = whole || (unconditional(route.match) && !route.match.tenant);
-        look(effective(route), path_of(i));
+        class_fully_matched =
+            class_fully_matched || (matches_all_queries(route.match) && !route.match.tenant);
+        inspect(effective_bounds(route), path_of(i));
       }
-      for (std::size_t i = 0; i < file_.routes.size() && !whole; ++i)
-        if (!file_.routes[i].match.class_name) look(effective(file_.routes[i]), path_of(i));
-      if (!whole) look(file_.defaults, "defaults");
+      for (std::size_t i = 0; i < file_.routes.size() && !class_fully_matched; ++i)
+        if (!file_.routes[i].match.class_name) inspect(effective_bounds(file_.routes[i]), path_of(i));
+      if (!class_fully_matched) inspect(file_.defaults, "defaults");
       if (!open) fault(place, path, "closes the class '" + c.name + "': no other route lets its queries in");
     }
   }
 
-  Bounds effective(const Route& route) const {
+  Bounds effective_bounds(const Route& route) const {
     const auto like = route.like ? by_name_.find(route.like->value) : by_name_.end();
     return inherited(route.bounds, like == by_name_.end() ? nullptr : &like->second->bounds, file_.defaults);
   }
 
   const Settings& settings_;
   const LimitFile& file_;
-  std::size_t routes_most_;
+  std::size_t max_routes_;
   std::unordered_map<std::string, const Route*> by_name_;
   std::vector<Fault> faults_;
 };
 
 }  // namespace
 
-std::vector<Fault> check(const Settings& settings, const LimitFile& file, std::size_t routes_most) {
-  return Checker(settings, file, routes_most).run();
+std::vector<Fault> check(const Settings& settings, const LimitFile& file, std::size_t max_routes) {
+  return Checker(settings, file, max_routes).run();
 }
 
 void check_no_fleet(const LimitFile& file, std::vector<Fault>& faults) {
-  const auto look = [&faults](const Bounds& b, const std::string& path) {
+  const auto inspect = [&faults](const Bounds& b, const std::string& path) {
     const char* why = "scope: fleet needs a fleet: --fleet, or fleetFile of the configuration";
     if (b.rate && b.rate->value.fleet) faults.push_back({b.rate->place, path + "rate.scope", why});
     if (b.concurrency && b.concurrency->value.fleet)
       faults.push_back({b.concurrency->place, path + "concurrency.scope", why});
   };
-  look(file.defaults, "defaults.");
+  inspect(file.defaults, "defaults.");
   for (std::size_t i = 0; i < file.routes.size(); ++i)
-    look(file.routes[i].bounds, "routes[" + std::to_string(i) + "].");
+    inspect(file.routes[i].bounds, "routes[" + std::to_string(i) + "].");
 }
 
 }  // namespace orchidgw::limits
--- a/src/limits/check.h
+++ b/src/limits/check.h
@@ -1,6 +1,6 @@
-// Checks a file's limits against a deployment's settings and the rules: what could never hold, never match,
-// or go past a rule is a fault. All faults are found, not the first alone; a file with any is not put in
-// force.
+// Validates the limits of an operator file against the settings and the rules: a limit that can never apply,
+// a route that can never match or a value beyond a rule is a fault. All faults are reported, not only the
+// first; a file with any fault must not be activated.
 #pragma once
 
 #include <vector>
@@ -9,10 +9,11 @@
 
 namespace orchidgw::limits {
 
-// In the order of the file's lines. `routes_most`: what the deployment's memory allows.
-std::vector<Fault> check(const Settings& settings, const LimitFile& file, std::size_t routes_most);
+// Returns the faults in the order of the file's lines. `max_routes`: the number of routes that the configured
+// memory allows.
+std::vector<Fault> check(const Settings& settings, const LimitFile& file, std::size_t max_routes);
 
-// For a controller without a fleet: adds a fault for each limit that says `scope: fleet`.
+// For a controller that belongs to no fleet: appends a fault for each limit with `scope: fleet`.
 void check_no_fleet(const LimitFile& file, std::vector<Fault>& faults);
 
 }  // namespace orchidgw::limits
--- a/src/limits/check_bounds.cpp
+++ b/src/limits/check_bounds.cpp
@@ -7,33 +7,33 @@
 namespace orchidgw::limits {
 namespace {
 
-constexpr std::pair<OutcomeKind, const char*> kMayHaveRun[] = {
+constexpr std::pair<OutcomeKind, const char*> kOutcomesThatMayHaveRun[] = {
     {OutcomeKind::kError, "error"}, {OutcomeKind::kTimeout, "timeout"}, {OutcomeKind::kReset, "reset"}};
 
 class BoundsChecker {
  public:
   BoundsChecker(const Settings& settings, const RouteToCheck& route, std::vector<Fault>& faults)
-      : settings_(settings), route_(route), own_(*route.own), whole_(route.whole), faults_(faults) {}
+      : settings_(settings), route_(route), own_(*route.own), effective_(route.effective), faults_(faults) {}
 
   void run() {
     check_times();
     check_attempts();
     check_second_copy();
-    check_keyed();
-    check_unsafe();
+    check_deduplication_window();
+    check_at_most_once();
     check_admission();
   }
 
  private:
   template <typename T>
-  void fault(const Maybe<T>& at, const char* field, std::string why) {
-    faults_.push_back({at->place, route_.path + "." + field, std::move(why)});
+  void fault(const Maybe<T>& location, const char* field, std::string why) {
+    faults_.push_back({location->place, route_.path + "." + field, std::move(why)});
   }
 
-  bool copies() const {
-    return whole_.second_copy && whole_.second_copy->value.when != SecondCopy::When::kNever;
+  bool has_second_copy() const {
+    return effective_.second_copy && effective_.second_copy->value.when != SecondCopy::When::kNever;
   }
-  bool further() const { return !whole_.attempts || whole_.attempts->value > 1; }
+  bool allows_retries() const { return !effective_.attempts || effective_.attempts->value > 1; }
 
   TimeUs longest_deadline() const {
     TimeUs longest = 0;
@@ -43,25 +43,27 @@
 
   // No client waits so long: the limit could never act.
   template <typename T>
-  void within_deadline(const Maybe<T>& time, const char* field) {
+  void check_within_deadline(const Maybe<T>& time, const char* field) {
     const TimeUs longest = longest_deadline();
     if (time && longest > 0 && time->value > longest)
-      fault(time, field, "longer than the clients' deadline of " + time_text(longest));
+      fault(time, field, "longer than the clients' deadline of " + format_time(longest));
   }
 
   void check_times() {
-    within_deadline(own_.timeout, "timeout");
-    within_deadline(own_.attempt_timeout, "attempt_timeout");
-    within_deadline(own_.longest_hold, "longest_hold");
-    if (!whole_.timeout) return;
-    const TimeUs whole = whole_.timeout->value;
-    const auto below = [&](const Maybe<TimeUs>& part, const Maybe<TimeUs>& stated, const char* field) {
-      if (!part || part->value < whole) return;
-      const auto& at = stated ? stated : own_.timeout;
-      if (at) fault(at, stated ? field : "timeout", std::string(field) + " is not shorter than the timeout");
+    check_within_deadline(own_.timeout, "timeout");
+    check_within_deadline(own_.attempt_timeout, "attempt_timeout");
+    check_within_deadline(own_.longest_hold, "longest_hold");
+    if (!effective_.timeout) return;
+    const TimeUs timeout = effective_.timeout->value;
+    const auto check_below_timeout = [&](const Maybe<TimeUs>& bound, const Maybe<TimeUs>& stated,
+                                         const char* field) {
+      if (!bound || bound->value < timeout) return;
+      const auto& location = stated ? stated : own_.timeout;
+      if (location)
+        fault(location, stated ? field : "timeout", std::string(field) + " is not shorter than the timeout");
     };
-    below(whole_.attempt_timeout, own_.attempt_timeout, "attempt_timeout");
-    below(whole_.longest_hold, own_.longest_hold, "longest_hold");
+    check_below_timeout(effective_.attempt_timeout, own_.attempt_timeout, "attempt_timeout");
+    check_below_timeout(effective_.longest_hold, own_.longest_hold, "longest_hold");
   }
 
   void check_attempts() {
@@ -71,44 +73,47 @@
     if (own_.back_off) {
       const BackOff& b = own_.back_off->value;
       if (b.first > b.most) fault(own_.back_off, "back_off.first", "longer than back_off.most");
-      const TimeUs whole = whole_.timeout ? whole_.timeout->value : longest_deadline();
-      if (whole > 0 && b.first >= whole)
-        fault(own_.back_off, "back_off.first", "no other attempt could begin within " + time_text(whole));
-      if (!further()) fault(own_.back_off, "back_off", "has no effect: there is one attempt only");
+      const TimeUs time_limit = effective_.timeout ? effective_.timeout->value : longest_deadline();
+      if (time_limit > 0 && b.first >= time_limit)
+        fault(own_.back_off, "back_off.first",
+              "no other attempt could begin within " + format_time(time_limit));
+      if (!allows_retries()) fault(own_.back_off, "back_off", "has no effect: there is one attempt only");
     }
-    if (own_.retry_on && !further())
+    if (own_.retry_on && !allows_retries())
       fault(own_.retry_on, "retry_on", "has no effect: there is one attempt only");
-    if (own_.retries && !further())
+    if (own_.retries && !allows_retries())
       fault(own_.retries, "retries", "has no effect: there is one attempt only");
   }
 
   void check_second_copy() {
-    if (!copies()) return;
-    const auto& at = own_.second_copy ? own_.second_copy : whole_.second_copy;
-    const bool mine = own_.second_copy.has_value();
-    if (mine && !settings_.limits.second_copies)
-      fault(at, "second_copy", "the settings forbid two attempts in flight");
-    if (!further()) fault(at, "second_copy", "has no effect: there is one attempt only");
+    if (!has_second_copy()) return;
+    const auto& location = own_.second_copy ? own_.second_copy : effective_.second_copy;
+    const bool stated_here = own_.second_copy.has_value();
+    if (stated_here && !settings_.limits.second_copies)
+      fault(location, "second_copy", "the settings forbid two attempts in flight");
+    if (!allows_retries()) fault(location, "second_copy", "has no effect: there is one attempt only");
     for (const ClassSettings* c : route_.classes) {
       if (c->effect == Effect::kAtMostOnce)
-        fault(at, "second_copy", "the class '" + c->name + "' forbids repeats");
-      if (c->in_order) fault(at, "second_copy", "the class '" + c->name + "' keeps an order: no copies");
+        fault(location, "second_copy", "the class '" + c->name + "' forbids repeats");
+      if (c->in_order)
+        fault(location, "second_copy", "the class '" + c->name + "' keeps an order: no copies");
     }
-    const SecondCopy& copy = at->value;
-    if (!mine) return;
-    if (copy.when == SecondCopy::When::kDelay && whole_.timeout && copy.delay >= whole_.timeout->value)
-      fault(at, "second_copy.after", "not before the timeout");
+    const SecondCopy& copy = location->value;
+    if (!stated_here) return;
+    if (copy.when == SecondCopy::When::kDelay && effective_.timeout &&
+        copy.delay >= effective_.timeout->value)
+      fault(location, "second_copy.after", "not before the timeout");
     if (copy.when == SecondCopy::When::kDelay && copy.delay >= longest_deadline() && longest_deadline() > 0)
-      fault(at, "second_copy.after", "not before the clients' deadline");
+      fault(location, "second_copy.after", "not before the clients' deadline");
     if (copy.at_most > 0 && copy.at_least > copy.at_most)
-      fault(at, "second_copy.at_least", "longer than second_copy.at_most");
+      fault(location, "second_copy.at_least", "longer than second_copy.at_most");
   }
 
   // A keyed query that may have run is repeated only within its key's window.
-  void check_keyed() {
+  void check_deduplication_window() {
     for (const ClassSettings* c : route_.classes) {
-      if (c->effect != Effect::kDeduplicated || !further()) continue;
-      const std::string window = " the window of " + time_text(c->repeat_window) +
+      if (c->effect != Effect::kDeduplicated || !allows_retries()) continue;
+      const std::string window = " the window of " + format_time(c->repeat_window) +
                                  " in which engines drop repeats of class '" + c->name + "'";
       if (own_.back_off && own_.back_off->value.first >= c->repeat_window)
         fault(own_.back_off, "back_off.first", "another attempt would come after" + window);
@@ -126,11 +131,11 @@
     }
   }
 
-  void check_unsafe() {
-    if (!own_.retry_on || !further()) return;
+  void check_at_most_once() {
+    if (!own_.retry_on || !allows_retries()) return;
     for (const ClassSettings* c : route_.classes) {
       if (c->effect != Effect::kAtMostOnce) continue;
-      for (const auto& [kind, name] : kMayHaveRun)
+      for (const auto& [kind, name] : kOutcomesThatMayHaveRun)
         if (own_.retry_on->value.has(kind))
           fault(own_.retry_on, "retry_on",
                 std::string("the class '") + c->name + "' forbids repeats: after '" + name +
@@ -141,14 +146,14 @@
   void check_admission() {
     if (own_.concurrency && own_.concurrency->value.least > own_.concurrency->value.most)
       fault(own_.concurrency, "concurrency.least", "above concurrency.most");
-    if (own_.line && !whole_.rate && !whole_.concurrency)
+    if (own_.line && !effective_.rate && !effective_.concurrency)
       fault(own_.line, "line", "has no effect: neither a rate nor a concurrency is stated");
   }
 
   const Settings& settings_;
   const RouteToCheck& route_;
   const Bounds& own_;
-  const Bounds& whole_;
+  const Bounds& effective_;
   std::vector<Fault>& faults_;
 };
 
@@ -158,13 +163,13 @@
   BoundsChecker(settings, route, faults).run();
 }
 
-std::string short_number(double number) {
+std::string format_number(double number) {
   std::ostringstream out;
   out << number;
   return out.str();
 }
 
-std::string time_text(TimeUs time) {
+std::string format_time(TimeUs time) {
   if (time % 1'000'000 == 0) return std::to_string(time / 1'000'000) + "s";
   if (time % 1'000 == 0) return std::to_string(time / 1'000) + "ms";
   return std::to_string(time) + "us";
--- a/src/limits/check_bounds.h
+++ b/src/limits/check_bounds.h
@@ -1,4 +1,4 @@
-// Checks the limits of one route against the classes that it may meet, the settings and the rules.
+// Validates the limits of one route against the query classes that it can match, the settings and the rules.
 #pragma once
 
 #include <string>
@@ -10,14 +10,15 @@
 
 struct RouteToCheck {
   std::string path;   // "defaults" or "routes[3]"
-  const Bounds* own;  // what it states by itself: faults are reported where they are stated
-  Bounds whole;       // after inheritance
-  std::vector<const ClassSettings*> classes;  // which it may meet
+  const Bounds* own;  // stated by the route itself: a fault is reported where the limit is stated
+  Bounds effective;   // after inheritance
+  std::vector<const ClassSettings*> classes;  // those that the route can match
 };
 
+// Appends what is wrong to `faults`.
 void check_bounds(const Settings& settings, const RouteToCheck& route, std::vector<Fault>& faults);
 
-std::string time_text(TimeUs time);       // "250ms", "2s"
-std::string short_number(double number);  // "0.2", "12"
+std::string format_time(TimeUs time);      // "250ms", "2s"
+std::string format_number(double number);  // "0.2", "12"
 
 }  // namespace orchidgw::limits
--- a/src/limits/explain.cpp
+++ b/src/limits/explain.cpp
@@ -8,23 +8,24 @@
 namespace orchidgw::limits {
 namespace {
 
-constexpr std::pair<OutcomeKind, const char*> kKinds[] = {{OutcomeKind::kError, "error"},
-                                                          {OutcomeKind::kFull, "full"},
-                                                          {OutcomeKind::kTimeout, "timeout"},
-                                                          {OutcomeKind::kConnectFailed, "connect_failed"},
-                                                          {OutcomeKind::kReset, "reset"}};
+constexpr std::pair<OutcomeKind, const char*> kOutcomeNames[] = {
+    {OutcomeKind::kError, "error"},
+    {OutcomeKind::kFull, "full"},
+    {OutcomeKind::kTimeout, "timeout"},
+    {OutcomeKind::kConnectFailed, "connect_failed"},
+    {OutcomeKind::kReset, "reset"}};
 
 class Explainer {
  public:
   Explainer(const Settings& settings, const ClassSettings& c, const RouteLimits& route)
-      : settings_(settings), class_(c), route_(route), b_(route.bounds) {}
+      : settings_(settings), class_(c), route_(route), bounds_(route.bounds) {}
 
   std::vector<Explained> run() {
-    times();
+    timeouts();
     attempts();
-    copies();
+    second_copy();
     admission();
-    budget();
+    retry_budget();
     return std::move(out_);
   }
 
@@ -33,63 +34,65 @@
     out_.push_back({field, std::move(value), std::move(set_by)});
   }
 
-  std::string line(Place place) const {
+  std::string file_line(Place place) const {
     return "file, line " + std::to_string(place.line) + ", for route '" + route_.name + "'";
   }
 
   template <typename T, typename Text>
-  void stated(const char* field, const Maybe<T>& bound, Text text, const char* otherwise,
-              const char* set_by) {
-    if (bound) return add(field, text(bound->value), line(bound->place));
-    add(field, otherwise, set_by);
+  void add_bound(const char* field, const Maybe<T>& bound, Text text, const char* default_value,
+                 const char* set_by) {
+    if (bound) return add(field, text(bound->value), file_line(bound->place));
+    add(field, default_value, set_by);
   }
 
-  void times() {
-    const std::string deadline = time_text(class_.deadline);
-    stated("timeout", b_.timeout, time_text, deadline.c_str(), "settings: the class's deadline");
-    stated("attempt_timeout", b_.attempt_timeout, time_text, "the time left", "nothing states one");
-    stated("longest_hold", b_.longest_hold, time_text, "while its aim can be met", "the decision module");
+  void timeouts() {
+    const std::string deadline = format_time(class_.deadline);
+    add_bound("timeout", bounds_.timeout, format_time, deadline.c_str(), "settings: the class's deadline");
+    add_bound("attempt_timeout", bounds_.attempt_timeout, format_time, "the time left", "nothing states one");
+    add_bound("longest_hold", bounds_.longest_hold, format_time, "while its aim can be met",
+              "the decision module");
   }
 
   void attempts() {
-    const int most = settings_.limits.max_attempts;
+    const int max_attempts = settings_.limits.max_attempts;
     if (class_.effect == Effect::kAtMostOnce) {
       add("attempts", "1 that may have run", "rule 2: the class forbids repeats");
-    } else if (b_.attempts && b_.attempts->value < most) {
-      add("attempts", std::to_string(b_.attempts->value), line(b_.attempts->place));
+    } else if (bounds_.attempts && bounds_.attempts->value < max_attempts) {
+      add("attempts", std::to_string(bounds_.attempts->value), file_line(bounds_.attempts->place));
     } else {
-      add("attempts", std::to_string(most), "settings: policyLimits.maxAttempts");
+      add("attempts", std::to_string(max_attempts), "settings: policyLimits.maxAttempts");
     }
     if (class_.effect == Effect::kDeduplicated)
-      add("repeat_window", time_text(class_.repeat_window), "rule 2: settings, the class's repeatWindow");
-    stated("retry_on", b_.retry_on, words_of, "any end that the class allows", "rule 2");
-    stated("back_off", b_.back_off, back_off_text, "none", "nothing states one");
+      add("repeat_window", format_time(class_.repeat_window), "rule 2: settings, the class's repeatWindow");
+    add_bound("retry_on", bounds_.retry_on, outcome_list, "any end that the class allows", "rule 2");
+    add_bound("back_off", bounds_.back_off, back_off_text, "none", "nothing states one");
   }
 
-  static std::string words_of(const RetryOn& on) {
+  static std::string outcome_list(const RetryOn& on) {
     std::string out;
-    for (const auto& [kind, word] : kKinds)
-      if (on.has(kind)) out += (out.empty() ? "" : ", ") + std::string(word);
+    for (const auto& [kind, outcome_name] : kOutcomeNames)
+      if (on.has(kind)) out += (out.empty() ? "" : ", ") + std::string(outcome_name);
     return out.empty() ? "never" : out;
   }
 
   static std::string back_off_text(const BackOff& b) {
-    return time_text(b.first) + " x " + short_number(b.factor) + "^n, at most " + time_text(b.most) +
-           ", jitter " + short_number(b.jitter);
+    return format_time(b.first) + " x " + format_number(b.factor) + "^n, at most " + format_time(b.most) +
+           ", jitter " + format_number(b.jitter);
   }
 
   static std::string copy_text(const SecondCopy& copy) {
     if (copy.when == SecondCopy::When::kNever) return "never";
-    if (copy.when == SecondCopy::When::kDelay) return "after " + time_text(copy.delay);
-    return "after quantile " + short_number(copy.quantile) + " of the class's latency";
+    if (copy.when == SecondCopy::When::kDelay) return "after " + format_time(copy.delay);
+    return "after quantile " + format_number(copy.quantile) + " of the class's latency";
   }
 
-  void copies() {
+  void second_copy() {
     if (!settings_.limits.second_copies)
       return add("second_copy", "never", "settings: policyLimits.secondCopies");
     if (class_.effect == Effect::kAtMostOnce)
       return add("second_copy", "never", "rule 2: the class forbids repeats");
-    stated("second_copy", b_.second_copy, copy_text, "when its engine is silent", "the decision module");
+    add_bound("second_copy", bounds_.second_copy, copy_text, "when its engine is silent",
+              "the decision module");
   }
 
   void admission() {
@@ -98,20 +101,21 @@
                           : std::to_string(c.most);
     };
     const auto rate = [](const Rate& r) {
-      return short_number(r.per_second) + "/s, burst " + short_number(r.burst);
+      return format_number(r.per_second) + "/s, burst " + format_number(r.burst);
     };
-    stated("concurrency", b_.concurrency, concurrency, "unbounded", "nothing states one");
-    stated("rate", b_.rate, rate, "unbounded", "nothing states one");
-    if (b_.rate || b_.concurrency)
-      stated(
-          "line", b_.line, [](int n) { return std::to_string(n); }, "64", "the program");
+    add_bound("concurrency", bounds_.concurrency, concurrency, "unbounded", "nothing states one");
+    add_bound("rate", bounds_.rate, rate, "unbounded", "nothing states one");
+    if (bounds_.rate || bounds_.concurrency)
+      add_bound(
+          "line", bounds_.line, [](int n) { return std::to_string(n); }, "64", "the program");
   }
 
-  void budget() {
+  void retry_budget() {
     const auto text = [](const RetryShare& r) {
-      return short_number(r.floor) + " + " + short_number(r.share) + " x queries in " + time_text(r.window);
+      return format_number(r.floor) + " + " + format_number(r.share) + " x queries in " +
+             format_time(r.window);
     };
-    stated("retries", b_.retries, text, "unbounded by the route", "nothing states one");
+    add_bound("retries", bounds_.retries, text, "unbounded by the route", "nothing states one");
     const Rules& rules = settings_.rules;
     if (rules.attempts_rationed)
       add("retries of all routes", text({rules.extra_share, rules.extra_free, rules.extra_window}),
@@ -121,7 +125,7 @@
   const Settings& settings_;
   const ClassSettings& class_;
   const RouteLimits& route_;
-  const Bounds& b_;
+  const Bounds& bounds_;
   std::vector<Explained> out_;
 };
 
@@ -137,7 +141,7 @@
     const RetryShare& r = set->retries()->value;
     out.limits.push_back(
         {"retries of all routes",
-         short_number(r.floor) + " + " + short_number(r.share) + " x queries in " + time_text(r.window),
+         format_number(r.floor) + " + " + format_number(r.share) + " x queries in " + format_time(r.window),
          "file, line " + std::to_string(set->retries()->place.line)});
   }
   return out;
--- a/src/limits/explain.h
+++ b/src/limits/explain.h
@@ -1,5 +1,5 @@
-// The limits that hold for one kind of query, each with what set it: a line of the file, a setting, or a
-// rule.
+// Lists the limits that apply to one kind of query, each with its origin: a line of the operator file, a
+// setting or a rule.
 #pragma once
 
 #include <string>
@@ -12,7 +12,7 @@
 struct Explained {
   std::string field;
   std::string value;
-  std::string set_by;  // "routes 'lookups', line 12", "settings: policyLimits.maxAttempts", "rule 2"
+  std::string set_by;  // "file, line 12, for route 'lookups'", "settings: policyLimits.maxAttempts", "rule 2"
 };
 
 struct Explanation {
@@ -20,7 +20,7 @@
   std::vector<Explained> limits;
 };
 
-// `set`: null, no file. The effective bound is the smallest of file, settings and rules.
+// `set`: null without an operator file. The effective limit is the smallest of file, settings and rules.
 Explanation explain(const Settings& settings, const LimitSet* set, int class_index, std::string_view tenant,
                     std::string_view table, bool keyed);
 
--- a/src/limits/fleet_share.h
+++ b/src/limits/fleet_share.h
@@ -1,4 +1,4 @@
-// What a fleet leaves this controller of limits with `scope: fleet`, and what it uses of them. Plain values.
+// This controller's share of the limits with `scope: fleet`, and its current usage of them. Plain values.
 #pragma once
 
 #include <map>
@@ -6,17 +6,17 @@
 
 namespace orchidgw::limits {
 
-// By route; a route that is not there has nothing.
+// Keyed by route name; a route without an entry has a share of zero.
 struct FleetLimits {
-  std::map<std::string, double> rates;  // queries a second
-  std::map<std::string, int> places;    // queries under way
+  std::map<std::string, double> rates;  // queries per second
+  std::map<std::string, int> places;    // queries under way at one time
   bool operator==(const FleetLimits&) const = default;
 };
 
 struct RouteUse {
   int under_way = 0;
   int waiting = 0;
-  double rate = 0;  // arrivals a second, fading
+  double rate = 0;  // arrivals per second, exponentially decayed
 };
 using FleetUse = std::map<std::string, RouteUse>;
 
--- a/src/limits/latency_quantiles.h
+++ b/src/limits/latency_quantiles.h
@@ -1,4 +1,5 @@
-// What the attempts of one class took, as a fading histogram from 1 ms to 10 min; quantiles from it.
+// Latency quantiles of one query class's attempts, from an exponentially decayed histogram that covers 1 ms
+// to 10 min.
 #pragma once
 
 #include <memory>
@@ -14,14 +15,15 @@
   ~LatencyQuantiles();
 
   void add(TimeUs latency);
-  // The upper edge of the bin that holds the quantile; nothing until enough was learned to tell.
+  // Returns the upper edge of the bin that holds the quantile (0 to 1), nullopt while there are too few
+  // answers.
   std::optional<TimeUs> at(double quantile) const;
 
  private:
-  struct Counts;  // on Boost.Histogram, which is seen by this package's source alone
+  struct Counts;  // keeps Boost.Histogram out of this header
   std::unique_ptr<Counts> counts_;
-  double weight_ = 0;  // of all answers, fading
-  double since_fade_ = 0;
+  double total_weight_ = 0;  // of all answers, decayed
+  double answers_since_halving_ = 0;
 };
 
 }  // namespace orchidgw::limits
--- a/src/limits/limit_set.cpp
+++ b/src/limits/limit_set.cpp
@@ -21,9 +21,9 @@
   for (const Route& route : file.routes) by_name[route.name] = &route;
   for (const Route& route : file.routes) {
     const auto like = route.like ? by_name.find(route.like->value) : by_name.end();
-    const Bounds* model = like == by_name.end() ? nullptr : &like->second->bounds;
+    const Bounds* like_bounds = like == by_name.end() ? nullptr : &like->second->bounds;
     routes_.push_back(std::make_shared<const RouteLimits>(
-        RouteLimits{route.name, route.match, inherited(route.bounds, model, file.defaults)}));
+        RouteLimits{route.name, route.match, inherited(route.bounds, like_bounds, file.defaults)}));
   }
   routes_.push_back(std::make_shared<const RouteLimits>(RouteLimits{kDefaultRoute, {}, file.defaults}));
 }
--- a/src/limits/limit_set.h
+++ b/src/limits/limit_set.h
@@ -1,4 +1,5 @@
-// A file's limits in the form in which they are put in force: inherited, indexed, never changed again.
+// The limits of one operator file in the form in which they are applied: inheritance resolved, indexed by
+// what routes match, immutable.
 #pragma once
 
 #include <memory>
@@ -19,15 +20,17 @@
 
 class LimitSet {
  public:
-  // `file` passed check(); `version` only rises. Throws nothing of its own.
+  // `file` must have passed check(); `version` rises with each file. Throws nothing but what allocations
+  // throw.
   LimitSet(const Settings& settings, const LimitFile& file, int version);
 
-  // The limits of such a query; those of the defaults where no route matches.
+  // Returns the limits that apply to such a query: those of the most specific route that matches, else the
+  // defaults.
   const std::shared_ptr<const RouteLimits>& find(int class_index, std::string_view tenant,
                                                  std::string_view table, bool keyed) const;
 
   const std::vector<std::shared_ptr<const RouteLimits>>& routes() const { return routes_; }  // defaults last
-  const Maybe<RetryShare>& retries() const { return retries_; }
+  const Maybe<RetryShare>& retries() const { return retries_; }  // the budget over all routes
   int version() const { return version_; }
 
  private:
@@ -37,7 +40,8 @@
   int version_;
 };
 
-// Limits of a route, of the one that it is like, and the defaults, made into one.
+// Resolves inheritance: each limit is the route's own, else that of the route it is like (null: none), else
+// the default.
 Bounds inherited(const Bounds& own, const Bounds* like, const Bounds& defaults);
 
 }  // namespace orchidgw::limits
--- a/src/limits/limiter.cpp
+++ b/src/limits/limiter.cpp
@@ -7,16 +7,16 @@
 namespace orchidgw::limits {
 namespace {
 
-constexpr TimeUs kAnswerMargin = 60'000;      // a held query is answered this long before its time ends
-constexpr TimeUs kUsualUnlessSeen = 200'000;  // a query is believed under way so long, before any was seen
-constexpr double kUsualWeight = 0.1;
-constexpr TimeUs kLeastExpected = 1'000;
-constexpr TimeUs kLeastAdvice = 1'000;  // the clients' protocol counts in milliseconds
-constexpr std::size_t kGoneMost = 64;   // ids in a line whose queries left it by another way
-constexpr double kArrivalsOver = 2e6;   // us over which a route's arrivals fade
-
-double faded(TimeUs passed) {
-  return std::exp(-static_cast<double>(std::max<TimeUs>(passed, 0)) / kArrivalsOver);
+constexpr TimeUs kAnswerMargin = 60'000;       // a held query is answered this long before its time ends
+constexpr TimeUs kAssumedQueryTime = 200'000;  // a query is believed under way so long, before any was seen
+constexpr double kQueryTimeWeight = 0.1;
+constexpr TimeUs kMinExpectedTime = 1'000;
+constexpr TimeUs kMinRetryAfter = 1'000;  // the clients' protocol counts in milliseconds
+constexpr std::size_t kMaxStaleIds = 64;  // ids in a line whose queries left it by another way
+constexpr double kArrivalDecayUs = 2e6;   // us over which a route's arrivals fade
+
+double decay_factor(TimeUs elapsed) {
+  return std::exp(-static_cast<double>(std::max<TimeUs>(elapsed, 0)) / kArrivalDecayUs);
 }
 
 }  // namespace
@@ -27,22 +27,22 @@
 
 // Latencies go on being learned under any file; budgets and bounds that a file does not state any more end.
 void Limiter::put_in_force(TimeUs now, std::shared_ptr<const LimitSet> set) {
-  std::unordered_map<std::string, std::shared_ptr<RouteState>> kept;
+  std::unordered_map<std::string, std::shared_ptr<RouteState>> kept_states;
   for (const auto& route : set->routes()) {
     std::shared_ptr<RouteState> state = state_for(route->name);
-    set_terms(*state, now, route->bounds, scale_, fleet_ ? &*fleet_ : nullptr);
-    schedule(now, state);
-    kept[route->name] = std::move(state);
+    apply_bounds(*state, now, route->bounds, scale_, fleet_ ? &*fleet_ : nullptr);
+    schedule_queue_check(now, state);
+    kept_states[route->name] = std::move(state);
   }
-  states_ = std::move(kept);  // lines of routes that are gone live on until their queries are over
+  states_ = std::move(kept_states);  // lines of routes that are gone live on until their queries are over
   for (auto& latencies : latencies_)
     if (!latencies) latencies = std::make_unique<LatencyQuantiles>();
   if (!set->retries()) {
-    overall_.reset();
-  } else if (overall_) {
-    overall_->change(now, set->retries()->value);
+    overall_retry_budget_.reset();
+  } else if (overall_retry_budget_) {
+    overall_retry_budget_->reconfigure(now, set->retries()->value);
   } else {
-    overall_ = std::make_shared<RetryBudget>(set->retries()->value);
+    overall_retry_budget_ = std::make_shared<RetryBudget>(set->retries()->value);
   }
   set_ = std::move(set);
 }
@@ -50,21 +50,21 @@
 void Limiter::set_scale(TimeUs now, double scale) {
   if (scale == scale_) return;
   scale_ = scale;
-  set_all_terms(now);
+  apply_all_bounds(now);
 }
 
 void Limiter::set_fleet(TimeUs now, FleetLimits fleet) {
   if (fleet_ && *fleet_ == fleet) return;
   fleet_ = std::move(fleet);
-  set_all_terms(now);
+  apply_all_bounds(now);
 }
 
-void Limiter::set_all_terms(TimeUs now) {
+void Limiter::apply_all_bounds(TimeUs now) {
   if (!set_) return;
   for (const auto& route : set_->routes()) {
     const auto& state = states_.at(route->name);
-    set_terms(*state, now, route->bounds, scale_, fleet_ ? &*fleet_ : nullptr);
-    schedule(now, state);
+    apply_bounds(*state, now, route->bounds, scale_, fleet_ ? &*fleet_ : nullptr);
+    schedule_queue_check(now, state);
   }
 }
 
@@ -75,7 +75,8 @@
     const Bounds& b = route->bounds;
     if (!(b.rate && b.rate->value.fleet) && !(b.concurrency && b.concurrency->value.fleet)) continue;
     const RouteState& state = *states_.at(route->name);
-    out[route->name] = {state.under_way, state.waiting, state.arrivals * faded(now - state.arrived_at)};
+    out[route->name] = {state.under_way, state.waiting,
+                        state.arrival_rate * decay_factor(now - state.last_arrival_at)};
   }
   return out;
 }
@@ -92,231 +93,239 @@
   if (!set_) return {};
   const auto& route = set_->find(arrival.class_index, arrival.tenant, arrival.table, arrival.keyed);
   const auto& state = states_.at(route->name);
-  state->arrivals = state->arrivals * faded(now - state->arrived_at) + 1e6 / kArrivalsOver;
-  state->arrived_at = now;
+  state->arrival_rate =
+      state->arrival_rate * decay_factor(now - state->last_arrival_at) + 1e6 / kArrivalDecayUs;
+  state->last_arrival_at = now;
   const auto c = static_cast<std::size_t>(arrival.class_index);
   Entry entry;
-  entry.pass = std::make_shared<Pass>(route, state, overall_, latencies_[c].get(),
-                                      settings_.classes[c].effect != Effect::kAtMostOnce,
-                                      seed_ ^ (static_cast<std::uint64_t>(arrival.id) << 20), now);
+  entry.limits =
+      std::make_shared<RouteQueryLimits>(route, state, overall_retry_budget_, latencies_[c].get(),
+                                         settings_.classes[c].effect != Effect::kAtMostOnce,
+                                         seed_ ^ (static_cast<std::uint64_t>(arrival.id) << 20), now);
   entry.class_index = arrival.class_index;
-  entry.hold_until = hold_end(now, entry, arrival.time_budget);
-  const Verdict verdict = enter(now, arrival.id, entry);
+  entry.wait_until = wait_deadline(now, entry, arrival.time_budget);
+  const Verdict verdict = admit_or_queue(now, arrival.id, entry);
   if (verdict.kind != Verdict::Kind::kRefuse) queries_.emplace(arrival.id, std::move(entry));
   return verdict;
 }
 
-Verdict Limiter::enter(TimeUs now, QueryId id, Entry& entry) {
-  RouteState& state = *entry.pass->state();
+Verdict Limiter::admit_or_queue(TimeUs now, QueryId id, Entry& entry) {
+  RouteState& state = *entry.limits->state();
   if (state.closed()) return refuse(state, Reason::kClosed, settings_.limits.max_retry_after);
-  if (state.waiting > 0 || !state.place_free())
-    return wait(now, id, entry, state.place_free() ? Reason::kRate : Reason::kConcurrency);
-  if (!state.token_ready(now)) return wait(now, id, entry, Reason::kRate);
-  let_in(now, entry);
+  if (state.waiting > 0 || !state.has_free_slot())
+    return enqueue(now, id, entry, state.has_free_slot() ? Reason::kRate : Reason::kConcurrency);
+  if (!state.has_token(now)) return enqueue(now, id, entry, Reason::kRate);
+  mark_admitted(now, entry);
   return {};
 }
 
 // Guards against a line that grows with clients that come and leave while its first one waits.
-void Limiter::drop_gone(RouteState& state) {
-  if (state.line.size() <= 2 * static_cast<std::size_t>(state.waiting) + kGoneMost) return;
-  std::erase_if(state.line, [&](QueryId id) {
+void Limiter::prune_queue(RouteState& state) {
+  if (state.queue.size() <= 2 * static_cast<std::size_t>(state.waiting) + kMaxStaleIds) return;
+  std::erase_if(state.queue, [&](QueryId id) {
     const auto it = queries_.find(id);
-    return it == queries_.end() || !it->second.waits || it->second.pass->state().get() != &state;
+    return it == queries_.end() || !it->second.is_waiting || it->second.limits->state().get() != &state;
   });
 }
 
 // Held where its turn can come within the hold, else refused early.
-Verdict Limiter::wait(TimeUs now, QueryId id, Entry& entry, Reason reason) {
-  const auto& state = entry.pass->state();
-  if (state->waiting >= state->line_most) return refuse(*state, Reason::kLineFull, come_back_in(now, *state));
-  const TimeUs turn = state->bucket ? state->bucket->next_at() : now;
-  const auto ahead =
+Verdict Limiter::enqueue(TimeUs now, QueryId id, Entry& entry, Reason reason) {
+  const auto& state = entry.limits->state();
+  if (state->waiting >= state->max_queue_size)
+    return refuse(*state, Reason::kLineFull, estimated_wait(now, *state));
+  const TimeUs next_token = state->bucket ? state->bucket->next_token_at() : now;
+  const auto time_for_queue_ahead =
       state->bucket ? static_cast<double>(state->waiting) * 1e6 / state->rate->per_second : 0.0;
-  if (turn + static_cast<TimeUs>(ahead) > entry.hold_until)
-    return refuse(*state, reason, come_back_in(now, *state));
-  drop_gone(*state);
-  state->line.push_back(id);
+  if (next_token + static_cast<TimeUs>(time_for_queue_ahead) > entry.wait_until)
+    return refuse(*state, reason, estimated_wait(now, *state));
+  prune_queue(*state);
+  state->queue.push_back(id);
   ++state->waiting;
-  ++state->held;
+  ++state->queued;
   ++waiting_;
-  entry.waits = true;
-  entry.waits_for = reason;
-  expiries_.insert({entry.hold_until, id});
-  schedule(now, state);
+  entry.is_waiting = true;
+  entry.wait_reason = reason;
+  wait_expiries_.insert({entry.wait_until, id});
+  schedule_queue_check(now, state);
   return {Verdict::Kind::kWait, reason, 0};
 }
 
 Verdict Limiter::refuse(RouteState& state, Reason reason, TimeUs retry_after) const {
   ++state.refused;
   if (!settings_.limits.retry_after) return {Verdict::Kind::kRefuse, reason, 0};
-  const TimeUs advice = std::min(std::max(retry_after, kLeastAdvice), settings_.limits.max_retry_after);
-  return {Verdict::Kind::kRefuse, reason, advice};
+  const TimeUs clamped_retry_after =
+      std::min(std::max(retry_after, kMinRetryAfter), settings_.limits.max_retry_after);
+  return {Verdict::Kind::kRefuse, reason, clamped_retry_after};
 }
 
-void Limiter::let_in(TimeUs now, Entry& entry) {
-  RouteState& state = *entry.pass->state();
+void Limiter::mark_admitted(TimeUs now, Entry& entry) {
+  RouteState& state = *entry.limits->state();
   if (state.bucket) state.bucket->take(now);
   ++state.under_way;
-  ++state.let_in;
+  ++state.admitted;
   entry.under_way = true;
-  entry.let_in_at = now;
-  entry.pass->let_in(now);
+  entry.admitted_at = now;
+  entry.limits->on_admitted(now);
 }
 
 // A wait ends in time for the answer; unless the file states a hold, when a query of its class would want its
 // answer already.
-TimeUs Limiter::hold_end(TimeUs now, const Entry& entry, TimeUs time_budget) const {
-  const Bounds& b = entry.pass->limits().bounds;
-  const TimeUs whole = b.timeout ? std::min(time_budget, b.timeout->value) : time_budget;
-  const TimeUs last = now + std::max<TimeUs>(whole - kAnswerMargin, 0);
-  if (b.longest_hold) return std::min(last, now + b.longest_hold->value);
-  return std::min(last, now + settings_.classes[static_cast<std::size_t>(entry.class_index)].aim);
+TimeUs Limiter::wait_deadline(TimeUs now, const Entry& entry, TimeUs time_budget) const {
+  const Bounds& b = entry.limits->route().bounds;
+  const TimeUs timeout = b.timeout ? std::min(time_budget, b.timeout->value) : time_budget;
+  const TimeUs latest = now + std::max<TimeUs>(timeout - kAnswerMargin, 0);
+  if (b.longest_hold) return std::min(latest, now + b.longest_hold->value);
+  return std::min(latest, now + settings_.classes[static_cast<std::size_t>(entry.class_index)].aim);
 }
 
 // When a newcomer may find a place: the line at the pace of the rate or of the places.
-TimeUs Limiter::come_back_in(TimeUs now, const RouteState& state) const {
-  double wait = 0;
-  const double line = state.waiting + 1;
+TimeUs Limiter::estimated_wait(TimeUs now, const RouteState& state) const {
+  double wait_us = 0;
+  const double queue_length = state.waiting + 1;
   if (state.bucket) {
-    wait = static_cast<double>(std::max<TimeUs>(state.bucket->next_at() - now, 0)) +
-           line * 1e6 / state.rate->per_second;
+    wait_us = static_cast<double>(std::max<TimeUs>(state.bucket->next_token_at() - now, 0)) +
+              queue_length * 1e6 / state.rate->per_second;
   }
-  if (state.concurrency && state.place_most() > 0) {
-    const double usual = state.usual_time > 0 ? state.usual_time : static_cast<double>(kUsualUnlessSeen);
-    wait = std::max(wait, line * usual / state.place_most());
+  if (state.concurrency && state.max_under_way() > 0) {
+    const double query_time =
+        state.mean_query_time > 0 ? state.mean_query_time : static_cast<double>(kAssumedQueryTime);
+    wait_us = std::max(wait_us, queue_length * query_time / state.max_under_way());
   }
-  return static_cast<TimeUs>(std::min(wait, 1e12));
+  return static_cast<TimeUs>(std::min(wait_us, 1e12));
 }
 
 TimeUs Limiter::time_for(QueryId id, TimeUs time_budget) const {
   const auto it = queries_.find(id);
   if (it == queries_.end()) return time_budget;
-  const auto& timeout = it->second.pass->limits().bounds.timeout;
+  const auto& timeout = it->second.limits->route().bounds.timeout;
   return timeout ? std::min(time_budget, timeout->value) : time_budget;
 }
 
 std::shared_ptr<const QueryLimits> Limiter::pass_of(QueryId id) const {
   const auto it = queries_.find(id);
-  return it == queries_.end() ? nullptr : it->second.pass;
+  return it == queries_.end() ? nullptr : it->second.limits;
 }
 
 Reason Limiter::forbidden(QueryId id) const {
   const auto it = queries_.find(id);
-  return it == queries_.end() ? Reason::kNone : it->second.pass->forbidden();
+  return it == queries_.end() ? Reason::kNone : it->second.limits->forbidden();
 }
 
 // Sets when the route's line is looked at next: at once while it may move, at the next token otherwise.
-void Limiter::schedule(TimeUs now, const std::shared_ptr<RouteState>& state) {
-  if (state->wakes_at > 0) wakes_.erase({state->wakes_at, state->serial});
-  state->wakes_at = 0;
+void Limiter::schedule_queue_check(TimeUs now, const std::shared_ptr<RouteState>& state) {
+  if (state->next_check_at > 0) queue_checks_.erase({state->next_check_at, state->serial});
+  state->next_check_at = 0;
   if (state->waiting == 0) return;
-  const bool stuck = !state->closed() && !state->place_free();  // until one that is under way is over
-  if (stuck) return;
-  const TimeUs token = state->bucket ? state->bucket->next_at() : now;
-  state->wakes_at = std::max<TimeUs>(std::max(token, now), 1);
-  wakes_[{state->wakes_at, state->serial}] = state;
+  const bool blocked = !state->closed() && !state->has_free_slot();  // until one that is under way is over
+  if (blocked) return;
+  const TimeUs token = state->bucket ? state->bucket->next_token_at() : now;
+  state->next_check_at = std::max<TimeUs>(std::max(token, now), 1);
+  queue_checks_[{state->next_check_at, state->serial}] = state;
 }
 
-std::optional<Release> Limiter::next_release(TimeUs now) {
-  if (auto expired = release_expired(now)) return expired;
-  return release_due(now);
+std::optional<EndedWait> Limiter::next_release(TimeUs now) {
+  if (auto expired = end_expired_wait(now)) return expired;
+  return end_due_wait(now);
 }
 
-std::optional<Release> Limiter::release_expired(TimeUs now) {
-  if (expiries_.empty() || expiries_.begin()->first > now) return std::nullopt;
-  const QueryId id = expiries_.begin()->second;
+std::optional<EndedWait> Limiter::end_expired_wait(TimeUs now) {
+  if (wait_expiries_.empty() || wait_expiries_.begin()->first > now) return std::nullopt;
+  const QueryId id = wait_expiries_.begin()->second;
   const auto it = queries_.find(id);
   Entry& entry = it->second;
-  const auto state = entry.pass->state();
-  const bool hold_over = entry.pass->limits().bounds.longest_hold.has_value();
-  const Reason reason = hold_over ? Reason::kHeldTooLong : entry.waits_for;
-  leave_line(entry, id);
-  schedule(now, state);
-  const Release release{id, refuse(*state, reason, come_back_in(now, *state))};
+  const auto state = entry.limits->state();
+  const bool longest_hold_ended = entry.limits->route().bounds.longest_hold.has_value();
+  const Reason reason = longest_hold_ended ? Reason::kHeldTooLong : entry.wait_reason;
+  leave_queue(entry, id);
+  schedule_queue_check(now, state);
+  const EndedWait ended_wait{id, refuse(*state, reason, estimated_wait(now, *state))};
   queries_.erase(it);
-  return release;
+  return ended_wait;
 }
 
-std::optional<Release> Limiter::release_due(TimeUs now) {
-  while (!wakes_.empty() && wakes_.begin()->first.first <= now) {
-    const std::shared_ptr<RouteState> state = wakes_.begin()->second;
-    while (!state->line.empty()) {  // ids of queries that left the line by another way
-      const auto it = queries_.find(state->line.front());
-      if (it != queries_.end() && it->second.waits && it->second.pass->state() == state) break;
-      state->line.pop_front();
+std::optional<EndedWait> Limiter::end_due_wait(TimeUs now) {
+  while (!queue_checks_.empty() && queue_checks_.begin()->first.first <= now) {
+    const std::shared_ptr<RouteState> state = queue_checks_.begin()->second;
+    while (!state->queue.empty()) {  // ids of queries that left the line by another way
+      const auto it = queries_.find(state->queue.front());
+      if (it != queries_.end() && it->second.is_waiting && it->second.limits->state() == state) break;
+      state->queue.pop_front();
     }
-    const bool open = state->closed() || (state->place_free() && state->token_ready(now));
-    if (state->line.empty() || !open) {
-      schedule(now, state);
-      if (state->wakes_at > 0 && state->wakes_at <= now) {  // lest one line hold up all others
-        wakes_.erase({state->wakes_at, state->serial});
-        state->wakes_at = 0;
+    const bool open = state->closed() || (state->has_free_slot() && state->has_token(now));
+    if (state->queue.empty() || !open) {
+      schedule_queue_check(now, state);
+      if (state->next_check_at > 0 && state->next_check_at <= now) {  // lest one line hold up all others
+        queue_checks_.erase({state->next_check_at, state->serial});
+        state->next_check_at = 0;
       }
       continue;
     }
-    const QueryId id = state->line.front();
-    state->line.pop_front();
+    const QueryId id = state->queue.front();
+    state->queue.pop_front();
     const auto it = queries_.find(id);
-    leave_line(it->second, id);
+    leave_queue(it->second, id);
     if (state->closed()) {  // a file closed the route meanwhile
-      schedule(now, state);
+      schedule_queue_check(now, state);
       queries_.erase(it);
-      return Release{id, refuse(*state, Reason::kClosed, settings_.limits.max_retry_after)};
+      return EndedWait{id, refuse(*state, Reason::kClosed, settings_.limits.max_retry_after)};
     }
-    let_in(now, it->second);
-    schedule(now, state);
-    return Release{id, {}};
+    mark_admitted(now, it->second);
+    schedule_queue_check(now, state);
+    return EndedWait{id, {}};
   }
   return std::nullopt;
 }
 
-void Limiter::leave_line(Entry& entry, QueryId id) {
-  if (!entry.waits) return;
-  entry.waits = false;
-  expiries_.erase({entry.hold_until, id});
-  --entry.pass->state()->waiting;
+void Limiter::leave_queue(Entry& entry, QueryId id) {
+  if (!entry.is_waiting) return;
+  entry.is_waiting = false;
+  wait_expiries_.erase({entry.wait_until, id});
+  --entry.limits->state()->waiting;
   --waiting_;
 }
 
 std::optional<TimeUs> Limiter::next_due() const {
   std::optional<TimeUs> due;
-  if (!expiries_.empty()) due = expiries_.begin()->first;
-  if (!wakes_.empty()) due = std::min(due.value_or(wakes_.begin()->first.first), wakes_.begin()->first.first);
+  if (!wait_expiries_.empty()) due = wait_expiries_.begin()->first;
+  if (!queue_checks_.empty())
+    due = std::min(due.value_or(queue_checks_.begin()->first.first), queue_checks_.begin()->first.first);
   return due;
 }
 
 void Limiter::attempt_sent(TimeUs now, QueryId id) {
-  if (const auto it = queries_.find(id); it != queries_.end()) it->second.pass->attempt_sent(now);
+  if (const auto it = queries_.find(id); it != queries_.end()) it->second.limits->attempt_sent(now);
 }
 
 void Limiter::attempt_ended(TimeUs now, QueryId id, OutcomeKind kind, TimeUs latency, TimeUs expected) {
   const auto it = queries_.find(id);
   if (it == queries_.end()) return;
   Entry& entry = it->second;
-  entry.pass->attempt_ended(now);
+  entry.limits->attempt_ended(now);
   // One that was given up took at least so long: without it, what hangs would not be seen by the bound.
-  const bool tells_time = kind == OutcomeKind::kOk || kind == OutcomeKind::kTimeout;
-  if (!tells_time) return;
+  const bool has_latency = kind == OutcomeKind::kOk || kind == OutcomeKind::kTimeout;
+  if (!has_latency) return;
   if (kind == OutcomeKind::kOk) latencies_[static_cast<std::size_t>(entry.class_index)]->add(latency);
-  RouteState& state = *entry.pass->state();
+  RouteState& state = *entry.limits->state();
   if (!state.adaptive) return;
-  const TimeUs whole = std::max(expected, kLeastExpected);
-  state.adaptive->learn(static_cast<double>(latency) / static_cast<double>(whole), state.under_way);
+  const TimeUs known_expected = std::max(expected, kMinExpectedTime);
+  state.adaptive->add_answer(static_cast<double>(latency) / static_cast<double>(known_expected),
+                             state.under_way);
 }
 
 void Limiter::over(TimeUs now, QueryId id) {
   const auto it = queries_.find(id);
   if (it == queries_.end()) return;
   Entry& entry = it->second;
-  const std::shared_ptr<RouteState> state = entry.pass->state();
-  leave_line(entry, id);
+  const std::shared_ptr<RouteState> state = entry.limits->state();
+  leave_queue(entry, id);
   if (entry.under_way) {
     --state->under_way;
-    const auto took = static_cast<double>(now - entry.let_in_at);
-    state->usual_time += (state->usual_time > 0 ? kUsualWeight : 1.0) * (took - state->usual_time);
+    const auto duration = static_cast<double>(now - entry.admitted_at);
+    state->mean_query_time +=
+        (state->mean_query_time > 0 ? kQueryTimeWeight : 1.0) * (duration - state->mean_query_time);
   }
   queries_.erase(it);
-  if (state->waiting > 0) schedule(now, state);
+  if (state->waiting > 0) schedule_queue_check(now, state);
 }
 
 std::vector<std::shared_ptr<const RouteState>> Limiter::route_states() const {
--- a/src/limits/limiter.h
+++ b/src/limits/limiter.h
@@ -1,7 +1,7 @@
-// The limits station on a query's path: it lets a query in, has it wait its turn, or refuses it with a reason
-// and a time to come back. It owns the state of all routes and of the queries that are under their limits. No
-// I/O, no clock: each call is given the time, which never runs backwards. Without a file in force it keeps
-// nothing and lets everything in.
+// Applies the operator's limits to each query: admits it, queues it or refuses it with a reason and a
+// retry-after. Owns the state of all routes and of the queries that are queued or admitted under their
+// limits. No I/O and no clock: each call is given the time, which must never go backwards. Without an active
+// LimitSet it stores nothing and admits every query.
 #pragma once
 
 #include <map>
@@ -16,7 +16,7 @@
 
 namespace orchidgw::limits {
 
-// A query as the limits see it.
+// The properties of a new query that limits depend on.
 struct Arrival {
   QueryId id = 0;
   int class_index = 0;
@@ -30,11 +30,11 @@
   enum class Kind { kLetIn, kWait, kRefuse };
   Kind kind = Kind::kLetIn;
   Reason reason = Reason::kNone;  // of kWait and kRefuse
-  TimeUs retry_after = 0;         // of kRefuse; 0: no advice
+  TimeUs retry_after = 0;         // of kRefuse; 0: none is sent to the client
 };
 
-// A query whose wait is over.
-struct Release {
+// A query whose wait in the queue ended, with an admission or a refusal (never kWait).
+struct EndedWait {
   QueryId id = 0;
   Verdict verdict;
 };
@@ -43,72 +43,79 @@
  public:
   Limiter(const Settings& settings, std::uint64_t seed);
 
-  // From now on. Queries under way keep the limits with which they began; counts carry over by route name.
+  // Makes `set` the active one. Queries already under way keep the limits that they started with; the state
+  // of a route carries over to the route of the same name.
   void put_in_force(TimeUs now, std::shared_ptr<const LimitSet> set);
-  const LimitSet* in_force() const { return set_.get(); }
-  // Scales all rates and bounds on queries under way, above 0 to 1; a reduced service level does so.
+  const LimitSet* in_force() const { return set_.get(); }  // null: none
+  // Multiplies all rates and concurrency limits by `scale` (above 0, at most 1), as reduced service levels
+  // do.
   void set_scale(TimeUs now, double scale);
 
-  // What a fleet leaves of limits that it divides, from now on.
+  // Sets this controller's share of the limits that the fleet divides.
   void set_fleet(TimeUs now, FleetLimits fleet);
-  FleetUse fleet_use(TimeUs now) const;  // of those limits, by route
+  FleetUse fleet_use(TimeUs now) const;  // usage of those limits, by route name
 
+  // Decides about a new query. After kWait its outcome comes from next_release(); after kRefuse nothing of it
+  // is kept.
   Verdict admit(TimeUs now, const Arrival& arrival);
-  // The whole time of a query that is under limits: its budget or the route's time-out, the smaller.
+  // The time limit of the whole query: `time_budget` or the route's timeout, whichever is smaller.
   TimeUs time_for(QueryId id, TimeUs time_budget) const;
-  std::shared_ptr<const QueryLimits> pass_of(QueryId id) const;  // null: under none
-  Reason forbidden(QueryId id) const;                            // why it got no further attempt
+  std::shared_ptr<const QueryLimits> pass_of(QueryId id) const;  // null: the query is under no limits
+  // Why the limits last denied the query another attempt; kNone: they did not.
+  Reason forbidden(QueryId id) const;
 
-  // The next query whose wait is over by now; each comes once.
-  std::optional<Release> next_release(TimeUs now);
+  // Returns the next query whose wait has ended by now, each of them once; nullopt: no more of them.
+  std::optional<EndedWait> next_release(TimeUs now);
+  // When next_release() has to be called next; nullopt: not because of time.
   std::optional<TimeUs> next_due() const;
 
   void attempt_sent(TimeUs now, QueryId id);
-  // `expected`: how long its engine should have taken, 0 unknown.
+  // `expected`: the run time that was estimated for the attempt; 0: unknown.
   void attempt_ended(TimeUs now, QueryId id, OutcomeKind kind, TimeUs latency, TimeUs expected);
-  // Nothing of the query is anywhere any more, or its client left while it waited.
+  // The query is answered and has no attempt on any engine, or its client disconnected while it was queued.
   void over(TimeUs now, QueryId id);
 
-  std::size_t waiting() const { return waiting_; }
-  std::size_t under_limits() const { return queries_.size(); }
-  // In the order of the file; routes that are gone but still hold queries are left out.
+  std::size_t waiting() const { return waiting_; }              // queued queries
+  std::size_t under_limits() const { return queries_.size(); }  // queued or under way
+  // In the order of the file, defaults last; without routes of earlier files, even if they still hold
+  // queries.
   std::vector<std::shared_ptr<const RouteState>> route_states() const;
 
  private:
   struct Entry {
-    std::shared_ptr<Pass> pass;
+    std::shared_ptr<RouteQueryLimits> limits;
     int class_index = 0;
-    bool waits = false;
+    bool is_waiting = false;
     bool under_way = false;
-    Reason waits_for = Reason::kNone;
-    TimeUs hold_until = 0;
-    TimeUs let_in_at = 0;
+    Reason wait_reason = Reason::kNone;  // which limit made it wait
+    TimeUs wait_until = 0;
+    TimeUs admitted_at = 0;
   };
-  using Wake = std::pair<TimeUs, std::uint64_t>;
+  using QueueCheck = std::pair<TimeUs, std::uint64_t>;  // time, serial of the route's state
 
   std::shared_ptr<RouteState> state_for(const std::string& name);
-  void set_all_terms(TimeUs now);
-  Verdict enter(TimeUs now, QueryId id, Entry& entry);
-  Verdict wait(TimeUs now, QueryId id, Entry& entry, Reason reason);
+  void apply_all_bounds(TimeUs now);
+  Verdict admit_or_queue(TimeUs now, QueryId id, Entry& entry);
+  Verdict enqueue(TimeUs now, QueryId id, Entry& entry, Reason reason);
   Verdict refuse(RouteState& state, Reason reason, TimeUs retry_after) const;
-  void let_in(TimeUs now, Entry& entry);
-  TimeUs hold_end(TimeUs now, const Entry& entry, TimeUs time_budget) const;
-  TimeUs come_back_in(TimeUs now, const RouteState& state) const;
-  void schedule(TimeUs now, const std::shared_ptr<RouteState>& state);
-  void leave_line(Entry& entry, QueryId id);
-  void drop_gone(RouteState& state);
-  std::optional<Release> release_due(TimeUs now);
-  std::optional<Release> release_expired(TimeUs now);
+  void mark_admitted(TimeUs now, Entry& entry);
+  TimeUs wait_deadline(TimeUs now, const Entry& entry, TimeUs time_budget) const;
+  TimeUs estimated_wait(TimeUs now, const RouteState& state) const;
+  void schedule_queue_check(TimeUs now, const std::shared_ptr<RouteState>& state);
+  void leave_queue(Entry& entry, QueryId id);
+  void prune_queue(RouteState& state);
+  std::optional<EndedWait> end_due_wait(TimeUs now);
+  std::optional<EndedWait> end_expired_wait(TimeUs now);
 
   Settings settings_;
   std::uint64_t seed_;
   std::shared_ptr<const LimitSet> set_;
-  std::shared_ptr<RetryBudget> overall_;
+  std::shared_ptr<RetryBudget> overall_retry_budget_;
   std::unordered_map<std::string, std::shared_ptr<RouteState>> states_;
   std::vector<std::unique_ptr<LatencyQuantiles>> latencies_;  // by class
   std::unordered_map<QueryId, Entry> queries_;
-  std::set<std::pair<TimeUs, QueryId>> expiries_;      // of those that wait
-  std::map<Wake, std::shared_ptr<RouteState>> wakes_;  // lines to be looked at
+  std::set<std::pair<TimeUs, QueryId>> wait_expiries_;              // of queued queries
+  std::map<QueueCheck, std::shared_ptr<RouteState>> queue_checks_;  // routes whose queues may move then
   std::size_t waiting_ = 0;
   double scale_ = 1;
   std::optional<FleetLimits> fleet_;
--- a/src/limits/pass.h
+++ b/src/limits/pass.h
@@ -1,5 +1,5 @@
-// The limits that one query began with, and what counts against them: what the module's guard asks. Kept for
-// as long as the query has an attempt anywhere.
+// The limits that one query started with, and its usage of them. The decision module asks
+// it before each attempt. It lives until the query has no attempt left on any engine.
 #pragma once
 
 #include <memory>
@@ -10,19 +10,19 @@
 
 namespace orchidgw::limits {
 
-class Pass final : public QueryLimits {
+class RouteQueryLimits final : public QueryLimits {
  public:
-  // `overall`: null where the file states no budget over all routes.
-  Pass(std::shared_ptr<const RouteLimits> limits, std::shared_ptr<RouteState> state,
-       std::shared_ptr<RetryBudget> overall, const LatencyQuantiles* latencies, bool may_repeat,
-       std::uint64_t seed, TimeUs taken_at);
+  // `overall_retry_budget`: null if the file states none over all routes.
+  RouteQueryLimits(std::shared_ptr<const RouteLimits> route, std::shared_ptr<RouteState> state,
+                   std::shared_ptr<RetryBudget> overall_retry_budget, const LatencyQuantiles* latencies,
+                   bool class_allows_repeats, std::uint64_t seed, TimeUs accepted_at);
 
-  const RouteLimits& limits() const { return *limits_; }
+  const RouteLimits& route() const { return *route_; }
   const std::shared_ptr<RouteState>& state() const { return state_; }
-  TimeUs taken_at() const { return taken_at_; }
+  TimeUs accepted_at() const { return accepted_at_; }
 
-  // What happened to the query.
-  void let_in(TimeUs now);
+  // Events of the query, in order of time.
+  void on_admitted(TimeUs now);
   void attempt_sent(TimeUs now);
   void attempt_ended(TimeUs now);
 
@@ -33,25 +33,25 @@
   TimeUs hold_until(TimeUs last) const override;
   bool copy_due(TimeUs now, TimeUs sent_at, int sent) const override;
 
-  // Why another attempt was last forbidden; kNone: it was not.
-  Reason forbidden() const { return forbidden_; }
+  // Why another attempt was last denied; kNone: it never was.
+  Reason forbidden() const { return retry_denial_reason_; }
 
  private:
-  bool budgets_allow(TimeUs now) const;
+  bool retry_budgets_allow(TimeUs now) const;
   TimeUs back_off() const;
-  TimeUs copy_delay(const SecondCopy& copy) const;
-  bool forbid(Reason reason) const;
+  TimeUs second_copy_delay(const SecondCopy& copy) const;
+  bool deny_retry(Reason reason) const;
 
-  std::shared_ptr<const RouteLimits> limits_;
+  std::shared_ptr<const RouteLimits> route_;
   std::shared_ptr<RouteState> state_;
-  std::shared_ptr<RetryBudget> overall_;
-  const LatencyQuantiles* latencies_;  // of the query's class; outlives the pass
-  bool may_repeat_;                    // its class
+  std::shared_ptr<RetryBudget> overall_retry_budget_;
+  const LatencyQuantiles* latencies_;  // of the query's class; outlives this object
+  bool class_allows_repeats_;
   std::uint64_t seed_;
-  TimeUs taken_at_;
+  TimeUs accepted_at_;
   TimeUs next_send_at_ = 0;
-  int sent_ = 0;
-  mutable Reason forbidden_ = Reason::kNone;
+  int attempts_sent_ = 0;
+  mutable Reason retry_denial_reason_ = Reason::kNone;
 };
 
 }  // namespace orchidgw::limits
--- a/src/limits/retry_budget.cpp
+++ b/src/limits/retry_budget.cpp
@@ -5,44 +5,44 @@
 namespace orchidgw::limits {
 namespace {
 
-constexpr double kRounding = 1e-9;  // shares are decimal fractions: 0.1 x 10 must allow one
+constexpr double kRoundingTolerance = 1e-9;  // shares are decimal fractions: 0.1 x 10 must allow one
 
 }  // namespace
 
-RetryBudget::RetryBudget(const RetryShare& terms)
-    : terms_(terms), width_(std::max<TimeUs>((terms.window + kSlots - 1) / kSlots, 1)) {}
+RetryBudget::RetryBudget(const RetryShare& settings)
+    : settings_(settings), slot_width_(std::max<TimeUs>((settings.window + kSlots - 1) / kSlots, 1)) {}
 
 RetryBudget::Slot& RetryBudget::slot_at(TimeUs now) {
-  const std::int64_t number = number_at(now);
+  const std::int64_t number = slot_number_at(now);
   Slot& slot = slots_[static_cast<std::size_t>(number) % slots_.size()];
   if (slot.number < number) slot = {number, 0, 0};
   return slot;  // one that is later than now (the clock went back) is counted in as it stands
 }
 
-bool RetryBudget::allows_another(TimeUs now) const {
-  const TimeUs from = now - terms_.window;
+bool RetryBudget::allows_retry(TimeUs now) const {
+  const TimeUs window_start = now - settings_.window;
   std::uint64_t queries = 0;
-  std::uint64_t attempts = 0;
+  std::uint64_t retries = 0;
   for (const Slot& slot : slots_) {
     if (slot.number < 0) continue;
-    const TimeUs begin = slot.number * width_;
-    if (begin + width_ > from) attempts += slot.attempts;       // any part of it may be inside
-    if (begin > from && begin <= now) queries += slot.queries;  // all of it is inside
+    const TimeUs slot_start = slot.number * slot_width_;
+    if (slot_start + slot_width_ > window_start) retries += slot.retries;  // any part of it may be inside
+    if (slot_start > window_start && slot_start <= now) queries += slot.queries;  // all of it is inside
   }
-  const double most = terms_.floor + terms_.share * static_cast<double>(queries);
-  return static_cast<double>(attempts) + 1 <= most + kRounding;
+  const double allowed = settings_.floor + settings_.share * static_cast<double>(queries);
+  return static_cast<double>(retries) + 1 <= allowed + kRoundingTolerance;
 }
 
-void RetryBudget::change(TimeUs now, const RetryShare& terms) {
-  if (terms.window == terms_.window) {
-    terms_ = terms;
+void RetryBudget::reconfigure(TimeUs now, const RetryShare& settings) {
+  if (settings.window == settings_.window) {
+    settings_ = settings;
     return;
   }
   std::uint32_t spent = 0;
   for (const Slot& slot : slots_)
-    if (slot.number >= 0 && (slot.number + 1) * width_ > now - terms_.window) spent += slot.attempts;
-  *this = RetryBudget(terms);
-  slot_at(now).attempts = spent;
+    if (slot.number >= 0 && (slot.number + 1) * slot_width_ > now - settings_.window) spent += slot.retries;
+  *this = RetryBudget(settings);
+  slot_at(now).retries = spent;
 }
 
 }  // namespace orchidgw::limits
--- a/src/limits/retry_budget.h
+++ b/src/limits/retry_budget.h
@@ -1,6 +1,6 @@
-// A sliding budget of further attempts: in any window at most floor + share x the queries let in within it.
-// Kept in slots, and never looser than the exact window: what may lie outside counts as an attempt but not as
-// a query.
+// A sliding-window budget of retries (all attempts after a query's first, second copies too): in any window
+// at most floor + share x the queries admitted in that window. The window is divided into slots and is never
+// looser than the exact one: a slot that is only partly inside counts its retries, but not its queries.
 #pragma once
 
 #include <array>
@@ -12,29 +12,29 @@
 
 class RetryBudget {
  public:
-  explicit RetryBudget(const RetryShare& terms);
+  explicit RetryBudget(const RetryShare& settings);
 
-  const RetryShare& terms() const { return terms_; }
-  // New terms; what was spent stays spent. With another window it counts as spent now, and the queries that
-  // were let in are forgotten: the careful side.
-  void change(TimeUs now, const RetryShare& terms);
+  const RetryShare& settings() const { return settings_; }
+  // Retries already spent stay spent. If the window's length changes, they count as spent now and the
+  // admitted queries are forgotten, so that the budget can only be too strict.
+  void reconfigure(TimeUs now, const RetryShare& settings);
 
-  void query_let_in(TimeUs now) { ++slot_at(now).queries; }
-  void attempt_made(TimeUs now) { ++slot_at(now).attempts; }
-  bool allows_another(TimeUs now) const;
+  void record_query(TimeUs now) { ++slot_at(now).queries; }
+  void record_retry(TimeUs now) { ++slot_at(now).retries; }
+  bool allows_retry(TimeUs now) const;
 
  private:
   static constexpr std::int64_t kSlots = 32;
   struct Slot {
-    std::int64_t number = -1;  // time / width; -1: empty
+    std::int64_t number = -1;  // time / slot width; -1: empty
     std::uint32_t queries = 0;
-    std::uint32_t attempts = 0;
+    std::uint32_t retries = 0;
   };
-  std::int64_t number_at(TimeUs now) const { return now / width_; }
+  std::int64_t slot_number_at(TimeUs now) const { return now / slot_width_; }
   Slot& slot_at(TimeUs now);
 
-  RetryShare terms_;
-  TimeUs width_;
+  RetryShare settings_;
+  TimeUs slot_width_;
   std::array<Slot, kSlots + 2> slots_;
 };
 
--- a/src/limits/route.h
+++ b/src/limits/route.h
@@ -1,5 +1,5 @@
-// What an operator may state about a route: whom it matches and which limits hold there. Plain values, each
-// with the place in the file where it stands. No I/O, no clock, no decision.
+// What an operator may state about a route: which queries it matches and which limits apply to them. Plain
+// values, each with its location in the operator file. No I/O, no clock, no decisions.
 #pragma once
 
 #include <cstddef>
@@ -12,37 +12,40 @@
 
 namespace orchidgw::limits {
 
-// A place in the operators' file, both from 1; 0: stated nowhere.
+// A location in the operator file, both counted from 1; 0: not stated in the file.
 struct Place {
   int line = 0;
   int column = 0;
 };
 
-// One thing that is wrong with a file.
+// An error in the operator file.
 struct Fault {
   Place place;
   std::string path;  // like routes[2].second_copy.after
   std::string why;
 };
 
+// A value with the location where the file states it.
 template <typename T>
 struct Stated {
   T value{};
   Place place;
 };
+// Without a value: the file does not state it.
 template <typename T>
 using Maybe = std::optional<Stated<T>>;
 
+// Whether a query has to carry an idempotency key.
 enum class KeyMatch { kAny, kGiven, kAbsent };
 
-// A table's whole name, or the beginning of it. Lower case, "schema.table" or "table".
+// A table's full name or a prefix of it, in lower case: "schema.table" or "table".
 struct TablePattern {
   std::string text;
   bool prefix = false;
   bool operator==(const TablePattern&) const = default;
 };
 
-// Whom a route matches; what is not stated matches all.
+// Which queries a route matches; a criterion that is not stated matches all.
 struct Match {
   Maybe<std::string> class_name;
   Maybe<std::string> tenant;
@@ -51,18 +54,18 @@
   KeyMatch key_or_any() const { return key ? key->value : KeyMatch::kAny; }
 };
 
-// A further attempt while the first is still out.
+// Whether and when a second attempt is sent while the first is still in flight.
 struct SecondCopy {
   enum class When { kNever, kDelay, kQuantile };
   When when = When::kNever;
-  TimeUs delay = 0;     // of kDelay: after the first attempt's send
-  double quantile = 0;  // of kQuantile: of what the class's attempts took, 0.5 to 0.999
-  TimeUs at_least = 0;  // of kQuantile: bounds on what was learned
+  TimeUs delay = 0;     // of kDelay: time after the first attempt was sent
+  double quantile = 0;  // of kQuantile: of the latency of the class's attempts, 0.5 to 0.999
+  TimeUs at_least = 0;  // of kQuantile: lower and upper bound on the delay that the quantile gives
   TimeUs at_most = 0;   // 0: none
 };
 
-// Time between the end of an attempt and the next: first x factor^n, at most `most`, less up to the share
-// `jitter` of it, drawn anew for each.
+// Delay between the end of an attempt and the next one: first x factor^n, at most `most`. A random part of
+// it, up to the share `jitter`, is subtracted anew each time.
 struct BackOff {
   TimeUs first = 0;
   TimeUs most = 0;
@@ -70,7 +73,7 @@
   double jitter = 0.5;
 };
 
-// Ends after which another attempt may be made, a bit for each OutcomeKind.
+// The outcomes of an attempt after which another may follow, one bit for each OutcomeKind.
 class RetryOn {
  public:
   static RetryOn all() { return RetryOn(0xff); }
@@ -84,43 +87,45 @@
   unsigned bits_ = 0;
 };
 
-// Queries of a route that are under way at one time.
+// How many queries of a route may be under way at one time.
 struct Concurrency {
-  int most = 0;        // 0: none is let in
-  int least = 0;       // of an adaptive bound: never below it; 0: the bound is fixed
-  bool fleet = false;  // of all controllers together (`scope: fleet`), divided by src/budget
+  int most = 0;        // 0: every query is refused
+  int least = 0;       // lower bound of an adaptive limit; 0: the limit is fixed at `most`
+  bool fleet = false;  // `scope: fleet`: of all controllers together, divided by src/budget
   bool adaptive() const { return least > 0; }
 };
 
+// How many queries of a route may start.
 struct Rate {
-  double per_second = 0;  // 0: none is let in
-  double burst = 1;       // let in at once after a calm, 1 or more
-  bool fleet = false;     // as above
+  double per_second = 0;  // 0: every query is refused
+  double burst = 1;       // size of the token bucket, 1 or more
+  bool fleet = false;     // `scope: fleet`, as in Concurrency
 };
 
-// Further attempts in any window: at most floor + share x the queries let in within it.
+// Limit of a retry budget: in any window at most floor + share x the queries admitted in that window.
 struct RetryShare {
   double share = 0;
   double floor = 0;
   TimeUs window = 10'000'000;
 };
 
-// The limits of a route; what is not stated comes from the route it is like, then from the defaults.
+// The limits of a route; one that is not stated is inherited from the route it is like, else from the
+// defaults.
 struct Bounds {
-  Maybe<TimeUs> timeout;          // of the whole query, from when it was taken
-  Maybe<TimeUs> attempt_timeout;  // of each attempt, from its send
-  Maybe<TimeUs> longest_hold;     // before the first attempt
-  Maybe<int> attempts;            // all of them, copies too
+  Maybe<TimeUs> timeout;          // of the whole query, from its acceptance
+  Maybe<TimeUs> attempt_timeout;  // of each attempt, from when it is sent
+  Maybe<TimeUs> longest_hold;     // longest wait before the first attempt
+  Maybe<int> attempts;            // maximum number of all attempts, second copies included
   Maybe<SecondCopy> second_copy;
   Maybe<BackOff> back_off;
   Maybe<RetryOn> retry_on;
   Maybe<Concurrency> concurrency;
   Maybe<Rate> rate;
-  Maybe<int> line;  // queries of the route that wait for a place or a token
+  Maybe<int> line;  // maximum number of queries in the route's queue
   Maybe<RetryShare> retries;
 };
 
-// Calls `f` on each pair of like fields.
+// Calls f(to_field, from_field, name) for each limit.
 template <typename To, typename From, typename F>
 void for_each_bound(To& to, From& from, F f) {
   f(to.timeout, from.timeout, "timeout");
@@ -139,19 +144,20 @@
 struct Route {
   std::string name;
   Place place;
-  Maybe<std::string> like;  // another route's name: its limits hold where this one states none
+  Maybe<std::string> like;  // name of the route whose limits apply where this one states none
   Match match;
   Bounds bounds;
 };
 
-// The operators' file as it was read: its form is right, its sense is not checked.
+// The limits in an operator file as it was read: syntax and types are right, check() has not been called.
 struct LimitFile {
   Bounds defaults;
-  Maybe<RetryShare> retries;  // over all routes
+  Maybe<RetryShare> retries;  // the budget over all routes
   std::vector<Route> routes;
 };
 
-inline constexpr const char* kDefaultRoute = "defaults";  // of queries that no route matches
-inline constexpr int kLineUnlessStated = 64;
+inline constexpr const char* kDefaultRoute =
+    "defaults";                               // name of the limits for queries that no route matches
+inline constexpr int kDefaultQueueSize = 64;  // of a route that states no `line`
 
 }  // namespace orchidgw::limits
--- a/src/limits/route_state.cpp
+++ b/src/limits/route_state.cpp
@@ -6,20 +6,20 @@
 namespace {
 
 // A fleet's limit is this controller's part of it; the burst goes with the rate, but for one query at least.
-Maybe<Rate> part_of(const Maybe<Rate>& rate, const std::string& route, const FleetLimits* fleet) {
+Maybe<Rate> own_share(const Maybe<Rate>& rate, const std::string& route, const FleetLimits* fleet) {
   if (!rate || !rate->value.fleet) return rate;
   Maybe<Rate> out = rate;
   const auto it =
       fleet != nullptr ? fleet->rates.find(route) : std::map<std::string, double>::const_iterator{};
-  const double part = fleet != nullptr && it != fleet->rates.end() ? it->second : 0;
-  const double whole = std::max(rate->value.per_second, 1e-9);
-  out->value.burst = std::max(1.0, rate->value.burst * part / whole);
-  out->value.per_second = part;
+  const double share = fleet != nullptr && it != fleet->rates.end() ? it->second : 0;
+  const double fleet_rate = std::max(rate->value.per_second, 1e-9);
+  out->value.burst = std::max(1.0, rate->value.burst * share / fleet_rate);
+  out->value.per_second = share;
   return out;
 }
 
-Maybe<Concurrency> part_of(const Maybe<Concurrency>& bound, const std::string& route,
-                           const FleetLimits* fleet) {
+Maybe<Concurrency> own_share(const Maybe<Concurrency>& bound, const std::string& route,
+                             const FleetLimits* fleet) {
   if (!bound || !bound->value.fleet) return bound;
   Maybe<Concurrency> out = bound;
   const auto it = fleet != nullptr ? fleet->places.find(route) : std::map<std::string, int>::const_iterator{};
@@ -29,38 +29,39 @@
 }
 
 void set_rate(RouteState& state, TimeUs now, const Maybe<Rate>& rate) {
-  const bool first = !state.rate;
+  const bool first_rate = !state.rate;
   state.rate.reset();
   if (rate) state.rate = rate->value;
   if (!rate || rate->value.per_second <= 0) return state.bucket.reset();
   const bool fleet = rate->value.fleet;
   if (state.bucket)
-    return fleet ? state.bucket->change_level(now, rate->value) : state.bucket->change(rate->value);
+    return fleet ? state.bucket->change_level(now, rate->value) : state.bucket->reconfigure(rate->value);
   state.bucket.emplace(rate->value);
   // Guards against a full bucket with each lease that comes after none.
-  if (fleet && !first) state.bucket->empty(now);
+  if (fleet && !first_rate) state.bucket->empty(now);
 }
 
 void set_concurrency(RouteState& state, const Maybe<Concurrency>& concurrency) {
   state.concurrency.reset();
   if (concurrency) state.concurrency = concurrency->value;
   if (!concurrency || !concurrency->value.adaptive()) return state.adaptive.reset();
-  if (state.adaptive) return state.adaptive->change(concurrency->value);
+  if (state.adaptive) return state.adaptive->reconfigure(concurrency->value);
   state.adaptive.emplace(concurrency->value);
 }
 
 void set_retries(RouteState& state, TimeUs now, const Maybe<RetryShare>& retries) {
   if (!retries) return state.retries.reset();
-  if (state.retries) return state.retries->change(now, retries->value);
+  if (state.retries) return state.retries->reconfigure(now, retries->value);
   state.retries = std::make_unique<RetryBudget>(retries->value);
 }
 
 }  // namespace
 
-void set_terms(RouteState& state, TimeUs now, const Bounds& bounds, double scale, const FleetLimits* fleet) {
-  Maybe<Rate> rate = part_of(bounds.rate, state.name, fleet);
+void apply_bounds(RouteState& state, TimeUs now, const Bounds& bounds, double scale,
+                  const FleetLimits* fleet) {
+  Maybe<Rate> rate = own_share(bounds.rate, state.name, fleet);
   if (rate) rate->value.per_second *= scale;
-  Maybe<Concurrency> concurrency = part_of(bounds.concurrency, state.name, fleet);
+  Maybe<Concurrency> concurrency = own_share(bounds.concurrency, state.name, fleet);
   if (concurrency && concurrency->value.most > 0) {
     Concurrency& c = concurrency->value;
     c.most = std::max(1, static_cast<int>(c.most * scale));
@@ -69,7 +70,7 @@
   set_rate(state, now, rate);
   set_concurrency(state, concurrency);
   set_retries(state, now, bounds.retries);
-  state.line_most = bounds.line ? bounds.line->value : kLineUnlessStated;
+  state.max_queue_size = bounds.line ? bounds.line->value : kDefaultQueueSize;
 }
 
 }  // namespace orchidgw::limits
--- a/src/limits/route_state.h
+++ b/src/limits/route_state.h
@@ -1,4 +1,4 @@
-// What is counted for one route: carried over to a new file where the route's name stays.
+// The counters and current limits of one route. They carry over to the route of the same name in a new file.
 #pragma once
 
 #include <list>
@@ -16,33 +16,37 @@
 
 struct RouteState {
   std::string name;
-  std::uint64_t serial = 0;  // unique for the life of the program: an order that is the same in every run
-  int under_way = 0;         // queries let in that still have something anywhere
+  std::uint64_t serial = 0;  // unique in the process: gives an order that is the same in each run
+  int under_way = 0;         // admitted queries that are unanswered or have an attempt on an engine
   std::optional<Rate> rate;
   std::optional<TokenBucket> bucket;
   std::optional<Concurrency> concurrency;
   std::optional<AdaptiveBound> adaptive;
-  std::unique_ptr<RetryBudget> retries;  // null: the route states none. A pointer, as most routes state none
-  int line_most = kLineUnlessStated;
-  std::list<QueryId> line;  // those that wait, first come first; ids that are over are skipped
-  int waiting = 0;          // of them, those that do wait
-  TimeUs wakes_at = 0;      // when the line is looked at next; 0: not by time alone
-  double usual_time = 0;    // us a query is under way, fading mean: for wait estimates
-  // Numbers for operators.
-  std::uint64_t let_in = 0, held = 0, refused = 0;
-  // Of limits that a fleet divides: arrivals a second, fading over a few, for what is asked of it.
-  double arrivals = 0;
-  TimeUs arrived_at = 0;
+  std::unique_ptr<RetryBudget> retries;  // null: the route states none. A pointer since most routes have none
+  int max_queue_size = kDefaultQueueSize;
+  std::list<QueryId> queue;    // in order of arrival; ids of queries that left are skipped later
+  int waiting = 0;             // queries in `queue` that still wait
+  TimeUs next_check_at = 0;    // when the queue is checked next; 0: not because of time
+  double mean_query_time = 0;  // moving average in us that queries are under way; to estimate waits
+  // Totals for operators.
+  std::uint64_t admitted = 0, queued = 0, refused = 0;
+  // Arrivals per second, exponentially decayed over a few seconds: the demand that a fleet's shares are asked
+  // by.
+  double arrival_rate = 0;
+  TimeUs last_arrival_at = 0;
 
+  // Whether a limit of zero refuses every query.
   bool closed() const { return (rate && rate->per_second <= 0) || (concurrency && concurrency->most <= 0); }
-  int place_most() const { return adaptive ? adaptive->bound() : concurrency ? concurrency->most : 0; }
-  bool place_free() const { return !concurrency || under_way < place_most(); }
-  bool token_ready(TimeUs now) const { return !bucket || bucket->ready(now); }
+  int max_under_way() const { return adaptive ? adaptive->bound() : concurrency ? concurrency->most : 0; }
+  bool has_free_slot() const { return !concurrency || under_way < max_under_way(); }
+  bool has_token(TimeUs now) const { return !bucket || bucket->ready(now); }
 };
 
-// Brings a state to the terms of a file, rates and bounds scaled (above 0 to 1; what is open stays open);
-// what was counted stays where its kind of limit stays.
-// `fleet`: what a fleet leaves of limits that it divides; null: it leaves nothing, as none is in force yet.
-void set_terms(RouteState& state, TimeUs now, const Bounds& bounds, double scale, const FleetLimits* fleet);
+// Applies the limits of a route to its state, rates and concurrency multiplied by `scale` (above 0, at most
+// 1; a concurrency limit above zero stays above zero). Counters stay where the route keeps that kind of
+// limit. `fleet`: this controller's share of the limits that the fleet divides; null: no share has come yet,
+// and these limits are zero.
+void apply_bounds(RouteState& state, TimeUs now, const Bounds& bounds, double scale,
+                  const FleetLimits* fleet);
 
 }  // namespace orchidgw::limits
--- a/src/limits/route_table.cpp
+++ b/src/limits/route_table.cpp
@@ -4,12 +4,12 @@
 
 namespace orchidgw::limits {
 
-int RouteTable::ByKey::pick(bool keyed) const {
+int RouteTable::RoutesByKey::select(bool keyed) const {
   const int exact = keyed ? given : absent;
   return exact != kNone ? exact : any;
 }
 
-void RouteTable::ByKey::put(KeyMatch key, int route) {
+void RouteTable::RoutesByKey::set(KeyMatch key, int route) {
   (key == KeyMatch::kAny ? any : key == KeyMatch::kGiven ? given : absent) = route;
 }
 
@@ -18,7 +18,7 @@
     classes_[settings.classes[i].name] = static_cast<int>(i);
   for (const Route& route : routes) {
     if (!route.match.tenant) continue;
-    states_tenant_ = true;
+    has_tenant_routes_ = true;
     tenants_.try_emplace(route.match.tenant->value, static_cast<int>(tenants_.size()));
   }
   for (std::size_t i = 0; i < routes.size(); ++i) {
@@ -26,12 +26,12 @@
     Bucket& bucket = bucket_for(routes[i]);
     const int number = static_cast<int>(i);
     if (!match.table) {
-      bucket.any_table.put(match.key_or_any(), number);
+      bucket.any_table.set(match.key_or_any(), number);
       continue;
     }
     TableEntry& entry = bucket.tables.emplace_back();
     entry.text = match.table->value.text;
-    (match.table->value.prefix ? entry.prefix : entry.whole).put(match.key_or_any(), number);
+    (match.table->value.prefix ? entry.prefix : entry.whole).set(match.key_or_any(), number);
   }
   for (auto& [key, bucket] : buckets_) link_prefixes(bucket);
 }
@@ -52,7 +52,7 @@
   std::vector<TableEntry>& all = bucket.tables;
   std::stable_sort(all.begin(), all.end(), [](const auto& a, const auto& b) { return a.text < b.text; });
   std::vector<TableEntry> merged;
-  const auto take = [](ByKey& to, const ByKey& from) {
+  const auto merge = [](RoutesByKey& to, const RoutesByKey& from) {
     if (from.any != kNone) to.any = from.any;
     if (from.given != kNone) to.given = from.given;
     if (from.absent != kNone) to.absent = from.absent;
@@ -62,8 +62,8 @@
       merged.push_back(std::move(entry));
       continue;
     }
-    take(merged.back().whole, entry.whole);
-    take(merged.back().prefix, entry.prefix);
+    merge(merged.back().whole, entry.whole);
+    merge(merged.back().prefix, entry.prefix);
   }
   all = std::move(merged);
   // In this order, what an entry begins with stands before it, on the chain of the one right before it.
@@ -78,7 +78,7 @@
 int RouteTable::find(int class_index, std::string_view tenant, std::string_view table, bool keyed) const {
   if (buckets_.empty()) return kNone;
   int tenant_number = kNone;
-  if (states_tenant_) {
+  if (has_tenant_routes_) {
     if (const auto it = tenants_.find(tenant); it != tenants_.end()) tenant_number = it->second;
   }
   const int classes[2] = {class_index, kNone};
@@ -104,12 +104,12 @@
   while (at != kNone) {
     const TableEntry& entry = all[static_cast<std::size_t>(at)];
     if (entry.text == table)
-      if (const int route = entry.whole.pick(keyed); route != kNone) return route;
+      if (const int route = entry.whole.select(keyed); route != kNone) return route;
     if (table.starts_with(entry.text))
-      if (const int route = entry.prefix.pick(keyed); route != kNone) return route;
+      if (const int route = entry.prefix.select(keyed); route != kNone) return route;
     at = entry.parent;
   }
-  return bucket.any_table.pick(keyed);
+  return bucket.any_table.select(keyed);
 }
 
 }  // namespace orchidgw::limits
--- a/src/limits/route_table.h
+++ b/src/limits/route_table.h
@@ -1,6 +1,7 @@
-// Finds the route of a query. The most specific wins, by an order that is total: class before tenant before
-// table before key; a whole table before a prefix, a longer prefix before a shorter one. A route that states
-// the class beats every one that does not, whatever else those state, and so on down the order.
+// Finds the most specific route that matches a query, by a total order: class before tenant before table
+// before key; a full table name before a prefix, a longer prefix before a shorter one. A route that states
+// the class precedes every route that does not, whatever else that one states; likewise for the criteria
+// after it.
 #pragma once
 
 #include <cstdint>
@@ -18,28 +19,29 @@
   static constexpr int kNone = -1;  // no route matches
 
   RouteTable() = default;
-  // `routes` name classes and tenants of these settings alone, and no two match alike (check.h sees to it).
+  // `routes` may name only classes and tenants of these settings, and no two may match the same (see
+  // check.h).
   RouteTable(const Settings& settings, const std::vector<Route>& routes);
 
-  // The place in `routes`, or kNone. Allocates nothing; logarithmic in the number of routes.
+  // Returns the index in `routes`, or kNone. Does not allocate; logarithmic in the number of routes.
   int find(int class_index, std::string_view tenant, std::string_view table, bool keyed) const;
 
  private:
-  // Routes that differ in the key alone.
-  struct ByKey {
+  // Indices of routes that differ only in the key.
+  struct RoutesByKey {
     int any = kNone, given = kNone, absent = kNone;
-    int pick(bool keyed) const;
-    void put(KeyMatch key, int route);
+    int select(bool keyed) const;
+    void set(KeyMatch key, int route);
   };
   struct TableEntry {
     std::string text;
-    ByKey whole;
-    ByKey prefix;
-    int parent = kNone;  // the longest other entry that this one begins with
+    RoutesByKey whole;
+    RoutesByKey prefix;
+    int parent = kNone;  // index of the longest other entry that is a prefix of this one
   };
   struct Bucket {
-    ByKey any_table;
-    std::vector<TableEntry> tables;  // in order of their text
+    RoutesByKey any_table;
+    std::vector<TableEntry> tables;  // sorted by text
   };
   struct TextHash {
     using is_transparent = void;
@@ -53,7 +55,7 @@
 
   std::unordered_map<std::string, int, TextHash, std::equal_to<>> classes_, tenants_;
   std::unordered_map<std::uint64_t, Bucket> buckets_;
-  bool states_tenant_ = false;
+  bool has_tenant_routes_ = false;
 };
 
 }  // namespace orchidgw::limits
--- a/src/limits/token_bucket.h
+++ b/src/limits/token_bucket.h
@@ -1,4 +1,4 @@
-// A rate with a burst, as the generic cell rate algorithm keeps it (ITU-T I.371): one time for each bucket.
+// A token bucket in the form of the generic cell rate algorithm (ITU-T I.371): its only state is one time.
 #pragma once
 
 #include <algorithm>
@@ -12,30 +12,37 @@
  public:
   explicit TokenBucket(const Rate& rate) : rate_(rate) {}
 
-  // New terms; what was taken stays taken.
-  void change(const Rate& rate) { rate_ = rate; }
+  // Changes rate and burst; tokens that were taken stay taken.
+  void reconfigure(const Rate& rate) { rate_ = rate; }
 
-  // New terms of a fleet's: a larger bucket begins with what is in it, a smaller one spills. So tokens that
-  // another controller's bucket gave up are never there twice.
+  // Changes rate and burst, but keeps the number of tokens: a larger bucket gains none, a smaller one drops
+  // what does not fit. For a fleet's shares: tokens that another controller's bucket gave up never exist
+  // twice.
   void change_level(TimeUs now, const Rate& rate) {
-    const double missing = static_cast<double>(std::max<TimeUs>(next_full_ - now, 0)) / step();
-    const double level = std::min(rate_.burst - missing, rate.burst);
+    const double missing = static_cast<double>(std::max<TimeUs>(full_at_ - now, 0)) / token_interval_us();
+    const double tokens = std::min(rate_.burst - missing, rate.burst);
     rate_ = rate;
-    next_full_ = now + static_cast<TimeUs>(std::ceil((rate_.burst - level) * step()));
+    full_at_ = now + static_cast<TimeUs>(std::ceil((rate_.burst - tokens) * token_interval_us()));
   }
 
-  void empty(TimeUs now) { next_full_ = now + static_cast<TimeUs>(std::ceil(rate_.burst * step())); }
+  void drain(TimeUs now) {
+    full_at_ = now + static_cast<TimeUs>(std::ceil(rate_.burst * token_interval_us()));
+  }
 
-  // When the next query may pass, at the earliest; `now` or before: at once. Only with a rate above zero.
-  TimeUs next_at() const { return next_full_ - static_cast<TimeUs>((rate_.burst - 1) * step()); }
-  bool ready(TimeUs now) const { return rate_.per_second > 0 && next_at() <= now; }
-  void take(TimeUs now) { next_full_ = std::max(next_full_, now) + static_cast<TimeUs>(std::ceil(step())); }
+  // The time of the next token; if it has passed, one is available. Only with a rate above zero.
+  TimeUs next_token_at() const {
+    return full_at_ - static_cast<TimeUs>((rate_.burst - 1) * token_interval_us());
+  }
+  bool ready(TimeUs now) const { return rate_.per_second > 0 && next_token_at() <= now; }
+  void take(TimeUs now) {
+    full_at_ = std::max(full_at_, now) + static_cast<TimeUs>(std::ceil(token_interval_us()));
+  }
 
  private:
-  double step() const { return 1e6 / rate_.per_second; }  // microseconds a token
+  double token_interval_us() const { return 1e6 / rate_.per_second; }  // microseconds per token
 
   Rate rate_;
-  TimeUs next_full_ = 0;  // when the bucket will be full again
+  TimeUs full_at_ = 0;  // when the bucket will be full again
 };
 
 }  // namespace orchidgw::limits
--- a/tests/limits/limiter_test.cpp
+++ b/tests/limits/limiter_test.cpp
@@ -247,8 +247,9 @@
   EXPECT_FALSE(pass->copy_due(now + 199 * kMs, now, 1));
   EXPECT_TRUE(pass->copy_due(now + 200 * kMs, now, 1));
   EXPECT_FALSE(pass->copy_due(now + 200 * kMs, now, 2));
-  const Pass unsafe(std::make_shared<RouteLimits>(limiter.in_force()->find(0, "", "", false).operator*()),
-                    std::make_shared<RouteState>(), nullptr, nullptr, false, 1, now);
+  const RouteQueryLimits unsafe(
+      std::make_shared<RouteLimits>(limiter.in_force()->find(0, "", "", false).operator*()),
+      std::make_shared<RouteState>(), nullptr, nullptr, false, 1, now);
   EXPECT_FALSE(unsafe.copy_due(now + kSecond, now, 1));
 }
 
--- a/tests/limits/parts_test.cpp
+++ b/tests/limits/parts_test.cpp
@@ -101,24 +101,24 @@
 // Never looser than the exact window, wherever the clock stands at its edge.
 TEST(RetryBudget, KeepsToTheExactSlidingWindow) {
   std::mt19937 random(11);
-  const RetryShare terms{0.2, 2, 10 * kSecond};
-  RetryBudget budget(terms);
+  const RetryShare settings{0.2, 2, 10 * kSecond};
+  RetryBudget budget(settings);
   std::deque<TimeUs> queries, attempts;
   TimeUs now = kStart;
   int allowed = 0;
   for (int i = 0; i < 20'000; ++i) {
     now += static_cast<TimeUs>(random() % 40) * kMs + static_cast<TimeUs>(random() % 3) - 1;
-    while (!queries.empty() && queries.front() <= now - terms.window) queries.pop_front();
-    while (!attempts.empty() && attempts.front() < now - terms.window) attempts.pop_front();
+    while (!queries.empty() && queries.front() <= now - settings.window) queries.pop_front();
+    while (!attempts.empty() && attempts.front() < now - settings.window) attempts.pop_front();
     if (random() % 3 != 0) {
-      budget.query_let_in(now);
+      budget.record_query(now);
       queries.push_back(now);
-    } else if (budget.allows_another(now)) {
-      budget.attempt_made(now);
+    } else if (budget.allows_retry(now)) {
+      budget.record_retry(now);
       attempts.push_back(now);
       ++allowed;
       ASSERT_LE(static_cast<double>(attempts.size()),
-                terms.floor + terms.share * static_cast<double>(queries.size()) + 1e-9);
+                settings.floor + settings.share * static_cast<double>(queries.size()) + 1e-9);
     }
   }
   EXPECT_GT(allowed, 1'000);  // nor much tighter
@@ -126,31 +126,31 @@
 
 TEST(RetryBudget, BeginsWithItsFloorAlone) {
   RetryBudget budget({0.5, 1, 10 * kSecond});
-  EXPECT_TRUE(budget.allows_another(kStart));
-  budget.attempt_made(kStart);
-  EXPECT_FALSE(budget.allows_another(kStart));
-  EXPECT_FALSE(budget.allows_another(kStart + 10 * kSecond));
-  EXPECT_TRUE(budget.allows_another(kStart + 11 * kSecond));
+  EXPECT_TRUE(budget.allows_retry(kStart));
+  budget.record_retry(kStart);
+  EXPECT_FALSE(budget.allows_retry(kStart));
+  EXPECT_FALSE(budget.allows_retry(kStart + 10 * kSecond));
+  EXPECT_TRUE(budget.allows_retry(kStart + 11 * kSecond));
 }
 
 TEST(RetryBudget, WhatWasSpentStaysSpentAcrossAChange) {
   RetryBudget budget({0, 2, 10 * kSecond});
-  budget.attempt_made(kStart);
-  budget.attempt_made(kStart);
-  budget.change(kStart, {0, 2, 10 * kSecond});
-  EXPECT_FALSE(budget.allows_another(kStart));
-  budget.change(kStart, {0, 2, 20 * kSecond});
-  EXPECT_FALSE(budget.allows_another(kStart + 15 * kSecond));
-  EXPECT_TRUE(budget.allows_another(kStart + 22 * kSecond));
+  budget.record_retry(kStart);
+  budget.record_retry(kStart);
+  budget.reconfigure(kStart, {0, 2, 10 * kSecond});
+  EXPECT_FALSE(budget.allows_retry(kStart));
+  budget.reconfigure(kStart, {0, 2, 20 * kSecond});
+  EXPECT_FALSE(budget.allows_retry(kStart + 15 * kSecond));
+  EXPECT_TRUE(budget.allows_retry(kStart + 22 * kSecond));
 }
 
 // Guards against queries of the old window that count in a new, longer one.
 TEST(RetryBudget, ANewWindowForgetsTheQueriesLetIn) {
   RetryBudget budget({1, 0, 10 * kSecond});
-  for (int i = 0; i < 5; ++i) budget.query_let_in(kStart);
-  EXPECT_TRUE(budget.allows_another(kStart + kSecond));
-  budget.change(kStart + kSecond, {1, 0, 20 * kSecond});
-  EXPECT_FALSE(budget.allows_another(kStart + kSecond));
+  for (int i = 0; i < 5; ++i) budget.record_query(kStart);
+  EXPECT_TRUE(budget.allows_retry(kStart + kSecond));
+  budget.reconfigure(kStart + kSecond, {1, 0, 20 * kSecond});
+  EXPECT_FALSE(budget.allows_retry(kStart + kSecond));
 }
 
 TEST(TokenBucket, LetsABurstInAndThenItsRate) {
@@ -173,28 +173,28 @@
   };
   EXPECT_EQ(take_all(kStart), 2);
   EXPECT_EQ(take_all(kStart + 100 * kSecond), 2);
-  EXPECT_EQ(bucket.next_at(), kStart + 100 * kSecond + 100 * kMs);
+  EXPECT_EQ(bucket.next_token_at(), kStart + 100 * kSecond + 100 * kMs);
 }
 
 TEST(AdaptiveBound, ShrinksWhileAnswersAreSlowAndComesBack) {
   AdaptiveBound bound({100, 4});
-  for (int i = 0; i < 400; ++i) bound.learn(1.0, bound.bound());
+  for (int i = 0; i < 400; ++i) bound.add_answer(1.0, bound.bound());
   EXPECT_EQ(bound.bound(), 100);
-  for (int i = 0; i < 400; ++i) bound.learn(5.0, bound.bound());
+  for (int i = 0; i < 400; ++i) bound.add_answer(5.0, bound.bound());
   const int low = bound.bound();
   EXPECT_LT(low, 30);
   EXPECT_GE(low, 4);
-  for (int i = 0; i < 2'000; ++i) bound.learn(1.0, bound.bound());
+  for (int i = 0; i < 2'000; ++i) bound.add_answer(1.0, bound.bound());
   EXPECT_GT(bound.bound(), 90);
 }
 
 // Guards against a bound that grows without use, and would let a burst in all at once.
 TEST(AdaptiveBound, GrowsOnlyWhileItIsUsed) {
   AdaptiveBound bound({100, 4});
-  for (int i = 0; i < 400; ++i) bound.learn(1.0, bound.bound());
-  for (int i = 0; i < 400; ++i) bound.learn(5.0, bound.bound());
+  for (int i = 0; i < 400; ++i) bound.add_answer(1.0, bound.bound());
+  for (int i = 0; i < 400; ++i) bound.add_answer(5.0, bound.bound());
   const int low = bound.bound();
-  for (int i = 0; i < 400; ++i) bound.learn(1.0, 1);
+  for (int i = 0; i < 400; ++i) bound.add_answer(1.0, 1);
   EXPECT_LE(bound.bound(), low);
 }
 
