--- a/src/limits/adaptive_bound.cpp
+++ b/src/limits/adaptive_bound.cpp
@@ -6,14 +6,13 @@
 namespace orchidgw::limits {
 namespace {
 
-constexpr int kAnswersPerAdjustment = 16;   // one answer alone says nothing: plans and data differ
-constexpr double kLongMeanWeight = 0.05;    // of one step in the long mean
-constexpr double kToleratedSlowdown = 1.5;  // x the usual before the bound shrinks
-constexpr double kMinGradient = 0.5;        // one step takes no more than half of what is over
-constexpr double kSmoothing = 0.3;          // part of the way that one step goes
-constexpr double kLongMeanWeightWhileSlow =
-    0.005;                               // the same while answers are slow, lest a jam pass for usual
-constexpr double kMinUtilization = 0.5;  // of the bound: below that nothing is learned of its height
+constexpr int kAnswersPerAdjustment = 16;   // a single answer tells nothing, as plans and data differ
+constexpr double kLongMeanWeight = 0.05;    // weight of one adjustment in the long mean
+constexpr double kToleratedSlowdown = 1.5;  // multiple of the long mean up to which the bound does not shrink
+constexpr double kMinGradient = 0.5;        // one adjustment aims at no less than half the bound
+constexpr double kSmoothing = 0.3;          // share of the way to the target that one adjustment goes
+constexpr double kLongMeanWeightWhileSlow = 0.005;  // smaller, so that congestion is not learned as usual
+constexpr double kMinUtilization = 0.5;             // share of the bound in use below which it does not grow
 
 }  // namespace
 
@@ -38,7 +37,7 @@
   const bool utilized = under_way >= kMinUtilization * bound_;
   const double target = bound_ * gradient + (gradient >= 1 && utilized ? std::sqrt(bound_) : 0);
   bound_ = std::clamp<double>(bound_ + kSmoothing * (target - bound_), concurrency_.least, concurrency_.most);
-  // What answers take while they are slow is not what they usually take; but it may become so.
+  // Slow answers are unusual and count little in the long mean, but a lasting change must be learned.
   long_mean_ += (gradient >= 1 ? kLongMeanWeight : kLongMeanWeightWhileSlow) * (recent_mean_ - long_mean_);
   recent_mean_ = 0;
   answers_since_adjustment_ = 0;
--- a/src/limits/check.cpp
+++ b/src/limits/check.cpp
@@ -94,22 +94,22 @@
             "the settings have no tenant '" + match.tenant->value + "'");
   }
 
-  static std::string signature(const Match& match) {
+  static std::string match_without_key(const Match& match) {
     const auto text = [](const Maybe<std::string>& m) { return m ? "=" + m->value : std::string("*"); };
     std::string out = text(match.class_name) + '\n' + text(match.tenant) + '\n';
     out += match.table ? (match.table->value.prefix ? "^" : "=") + match.table->value.text : std::string("*");
     return out;
   }
 
-  // Two routes that match alike: the order between them would hang on their place in the file.
+  // Finds routes that match the same queries: only their order in the file could decide between them.
   void check_duplicate_matches() {
     std::unordered_map<std::string, const Route*> seen;
     std::unordered_map<std::string, unsigned> keys;  // bit 0 any, 1 given, 2 absent
     for (const Route& route : file_.routes)
-      keys[signature(route.match)] |= 1U << static_cast<unsigned>(route.match.key_or_any());
+      keys[match_without_key(route.match)] |= 1U << static_cast<unsigned>(route.match.key_or_any());
     for (std::size_t i = 0; i < file_.routes.size(); ++i) {
       const Route& route = file_.routes[i];
-      const std::string match = signature(route.match);
+      const std::string match = match_without_key(route.match);
       const auto key = static_cast<char>('0' + static_cast<int>(route.match.key_or_any()));
       const auto [it, inserted] = seen.try_emplace(match + '\n' + key, &route);
       if (!inserted)
@@ -122,17 +122,17 @@
     }
   }
 
-  bool matches_all_queries(const Match& match) const {
+  // Whether it matches all queries of the class and tenant that it states.
+  bool ignores_table_and_key(const Match& match) const {
     return !match.table && match.key_or_any() == KeyMatch::kAny;
   }
 
-  // Routes of which other, more specific ones leave nothing.
+  // Finds routes whose queries are all matched by more specific routes.
   void check_unreachable_routes() {
-    std::unordered_set<std::string>
-        matched_pairs;  // class \n tenant that are taken wholly by routes that state both
-    std::unordered_set<std::string> fully_matched_classes;
+    std::unordered_set<std::string> matched_pairs;          // class \n tenant
+    std::unordered_set<std::string> fully_matched_classes;  // for any tenant
     for (const Route& route : file_.routes) {
-      if (!matches_all_queries(route.match) || !route.match.class_name) continue;
+      if (!ignores_table_and_key(route.match) || !route.match.class_name) continue;
       if (route.match.tenant) {
         matched_pairs.insert(route.match.class_name->value + '\n' + route.match.tenant->value);
       } else {
@@ -183,7 +183,7 @@
                  faults_);
   }
 
-  // Further attempts of all routes together against the rule that rations them (rule 7).
+  // Compares the retry budgets of all routes together with the rules' retry budget (rule 7).
   void check_retry_budgets() {
     if (file_.retries) check_retry_budget(file_.retries->value, file_.retries->place, "retries");
     if (!settings_.rules.attempts_rationed) return;
@@ -226,11 +226,11 @@
     return (b.rate && b.rate->value.per_second <= 0) || (b.concurrency && b.concurrency->value.most <= 0);
   }
 
-  // A class that no open route is left to: its queries would all be refused.
+  // Finds classes that have only routes with a limit of zero: all of their queries would be refused.
   void check_closed_classes() {
     for (const ClassSettings& c : settings_.classes) {
       bool open = false;
-      bool class_fully_matched = false;  // a route takes all of the class that others leave
+      bool class_fully_matched = false;  // one of its routes matches what the others leave
       Place place;
       std::string path;
       const auto inspect = [&](const Bounds& bounds, const std::string& at) {
@@ -246,7 +246,7 @@
         const Route& route = file_.routes[i];
         if (!route.match.class_name || route.match.class_name->value != c.name) continue;
         class_fully_matched =
-            class_fully_matched || (matches_all_queries(route.match) && !route.match.tenant);
+            class_fully_matched || (ignores_table_and_key(route.match) && !route.match.tenant);
         inspect(effective_bounds(route), path_of(i));
       }
       for (std::size_t i = 0; i < file_.routes.size() && !class_fully_matched; ++i)
--- a/src/limits/check_bounds.cpp
+++ b/src/limits/check_bounds.cpp
@@ -26,8 +26,8 @@
 
  private:
   template <typename T>
-  void fault(const Maybe<T>& location, const char* field, std::string why) {
-    faults_.push_back({location->place, route_.path + "." + field, std::move(why)});
+  void fault(const Maybe<T>& stated_limit, const char* field, std::string why) {
+    faults_.push_back({stated_limit->place, route_.path + "." + field, std::move(why)});
   }
 
   bool has_second_copy() const {
@@ -41,7 +41,7 @@
     return longest;
   }
 
-  // No client waits so long: the limit could never act.
+  // A time beyond every class's deadline could never take effect, since clients do not wait that long.
   template <typename T>
   void check_within_deadline(const Maybe<T>& time, const char* field) {
     const TimeUs longest = longest_deadline();
@@ -58,9 +58,10 @@
     const auto check_below_timeout = [&](const Maybe<TimeUs>& bound, const Maybe<TimeUs>& stated,
                                          const char* field) {
       if (!bound || bound->value < timeout) return;
-      const auto& location = stated ? stated : own_.timeout;
-      if (location)
-        fault(location, stated ? field : "timeout", std::string(field) + " is not shorter than the timeout");
+      const auto& stated_limit = stated ? stated : own_.timeout;
+      if (stated_limit)
+        fault(stated_limit, stated ? field : "timeout",
+              std::string(field) + " is not shorter than the timeout");
     };
     check_below_timeout(effective_.attempt_timeout, own_.attempt_timeout, "attempt_timeout");
     check_below_timeout(effective_.longest_hold, own_.longest_hold, "longest_hold");
@@ -87,29 +88,30 @@
 
   void check_second_copy() {
     if (!has_second_copy()) return;
-    const auto& location = own_.second_copy ? own_.second_copy : effective_.second_copy;
+    const auto& stated_limit = own_.second_copy ? own_.second_copy : effective_.second_copy;
     const bool stated_here = own_.second_copy.has_value();
     if (stated_here && !settings_.limits.second_copies)
-      fault(location, "second_copy", "the settings forbid two attempts in flight");
-    if (!allows_retries()) fault(location, "second_copy", "has no effect: there is one attempt only");
+      fault(stated_limit, "second_copy", "the settings forbid two attempts in flight");
+    if (!allows_retries()) fault(stated_limit, "second_copy", "has no effect: there is one attempt only");
     for (const ClassSettings* c : route_.classes) {
       if (c->effect == Effect::kAtMostOnce)
-        fault(location, "second_copy", "the class '" + c->name + "' forbids repeats");
+        fault(stated_limit, "second_copy", "the class '" + c->name + "' forbids repeats");
       if (c->in_order)
-        fault(location, "second_copy", "the class '" + c->name + "' keeps an order: no copies");
+        fault(stated_limit, "second_copy", "the class '" + c->name + "' keeps an order: no copies");
     }
-    const SecondCopy& copy = location->value;
+    const SecondCopy& copy = stated_limit->value;
     if (!stated_here) return;
     if (copy.when == SecondCopy::When::kDelay && effective_.timeout &&
         copy.delay >= effective_.timeout->value)
-      fault(location, "second_copy.after", "not before the timeout");
+      fault(stated_limit, "second_copy.after", "not before the timeout");
     if (copy.when == SecondCopy::When::kDelay && copy.delay >= longest_deadline() && longest_deadline() > 0)
-      fault(location, "second_copy.after", "not before the clients' deadline");
+      fault(stated_limit, "second_copy.after", "not before the clients' deadline");
     if (copy.at_most > 0 && copy.at_least > copy.at_most)
-      fault(location, "second_copy.at_least", "longer than second_copy.at_most");
+      fault(stated_limit, "second_copy.at_least", "longer than second_copy.at_most");
   }
 
-  // A keyed query that may have run is repeated only within its key's window.
+  // A query with an idempotency key that may have run is repeated only within the deduplication window of its
+  // class.
   void check_deduplication_window() {
     for (const ClassSettings* c : route_.classes) {
       if (c->effect != Effect::kDeduplicated || !allows_retries()) continue;
--- a/src/limits/latency_quantiles.cpp
+++ b/src/limits/latency_quantiles.cpp
@@ -9,10 +9,10 @@
 namespace orchidgw::limits {
 namespace {
 
-constexpr unsigned kBins = 96;  // a factor of 1.15 each
+constexpr unsigned kBins = 96;  // each wider by a factor of 1.15 than the one before
 constexpr double kMinLatencyUs = 1e3, kMaxLatencyUs = 600e6;
-constexpr double kAnswersPerHalving = 1000;  // answers, after which all so far count half
-constexpr double kMinAnswers = 50;           // answers: fewer say nothing about a far quantile
+constexpr double kAnswersPerHalving = 1000;  // after that many answers the weight of all so far is halved
+constexpr double kMinAnswers = 50;           // fewer tell nothing about a high quantile
 
 using Axis = boost::histogram::axis::regular<double, boost::histogram::axis::transform::log>;
 using Storage = boost::histogram::storage_adaptor<std::vector<float>>;
--- a/src/limits/limiter.cpp
+++ b/src/limits/limiter.cpp
@@ -7,13 +7,14 @@
 namespace orchidgw::limits {
 namespace {
 
-constexpr TimeUs kAnswerMargin = 60'000;       // a held query is answered this long before its time ends
-constexpr TimeUs kAssumedQueryTime = 200'000;  // a query is believed under way so long, before any was seen
+constexpr TimeUs kAnswerMargin = 60'000;       // a queued query is answered this long before its time limit
+constexpr TimeUs kAssumedQueryTime = 200'000;  // mean time under way, until the first query has ended
 constexpr double kQueryTimeWeight = 0.1;
 constexpr TimeUs kMinExpectedTime = 1'000;
 constexpr TimeUs kMinRetryAfter = 1'000;  // the clients' protocol counts in milliseconds
-constexpr std::size_t kMaxStaleIds = 64;  // ids in a line whose queries left it by another way
-constexpr double kArrivalDecayUs = 2e6;   // us over which a route's arrivals fade
+constexpr std::size_t kMaxStaleIds =
+    64;  // ids in a queue whose queries have left it, beyond those still waiting
+constexpr double kArrivalDecayUs = 2e6;  // time constant of the decay of a route's arrival rate
 
 double decay_factor(TimeUs elapsed) {
   return std::exp(-static_cast<double>(std::max<TimeUs>(elapsed, 0)) / kArrivalDecayUs);
@@ -25,7 +26,8 @@
   for (std::size_t i = 0; i < settings_.classes.size(); ++i) latencies_.emplace_back();
 }
 
-// Latencies go on being learned under any file; budgets and bounds that a file does not state any more end.
+// Latency histograms are kept under any file; a retry budget or bound that the file no longer states is
+// dropped.
 void Limiter::put_in_force(TimeUs now, std::shared_ptr<const LimitSet> set) {
   std::unordered_map<std::string, std::shared_ptr<RouteState>> kept_states;
   for (const auto& route : set->routes()) {
@@ -34,7 +36,7 @@
     schedule_queue_check(now, state);
     kept_states[route->name] = std::move(state);
   }
-  states_ = std::move(kept_states);  // lines of routes that are gone live on until their queries are over
+  states_ = std::move(kept_states);  // queues of removed routes live until their queries have ended
   for (auto& latencies : latencies_)
     if (!latencies) latencies = std::make_unique<LatencyQuantiles>();
   if (!set->retries()) {
@@ -119,7 +121,7 @@
   return {};
 }
 
-// Guards against a line that grows with clients that come and leave while its first one waits.
+// Without this, a queue would grow with each client that disconnects while the first query in it still waits.
 void Limiter::prune_queue(RouteState& state) {
   if (state.queue.size() <= 2 * static_cast<std::size_t>(state.waiting) + kMaxStaleIds) return;
   std::erase_if(state.queue, [&](QueryId id) {
@@ -128,7 +130,7 @@
   });
 }
 
-// Held where its turn can come within the hold, else refused early.
+// Queues the query if it can be admitted before its wait has to end; otherwise refuses it right away.
 Verdict Limiter::enqueue(TimeUs now, QueryId id, Entry& entry, Reason reason) {
   const auto& state = entry.limits->state();
   if (state->waiting >= state->max_queue_size)
@@ -168,8 +170,8 @@
   entry.limits->on_admitted(now);
 }
 
-// A wait ends in time for the answer; unless the file states a hold, when a query of its class would want its
-// answer already.
+// A wait ends early enough for the client to get the answer. If the file states no longest_hold, it ends at
+// the latest at the class's latency target.
 TimeUs Limiter::wait_deadline(TimeUs now, const Entry& entry, TimeUs time_budget) const {
   const Bounds& b = entry.limits->route().bounds;
   const TimeUs timeout = b.timeout ? std::min(time_budget, b.timeout->value) : time_budget;
@@ -178,7 +180,8 @@
   return std::min(latest, now + settings_.classes[static_cast<std::size_t>(entry.class_index)].aim);
 }
 
-// When a newcomer may find a place: the line at the pace of the rate or of the places.
+// Estimates the wait of a new query, in microseconds: the queue's length at the pace of the rate or of the
+// queries under way, whichever is slower.
 TimeUs Limiter::estimated_wait(TimeUs now, const RouteState& state) const {
   double wait_us = 0;
   const double queue_length = state.waiting + 1;
@@ -211,12 +214,12 @@
   return it == queries_.end() ? Reason::kNone : it->second.limits->forbidden();
 }
 
-// Sets when the route's line is looked at next: at once while it may move, at the next token otherwise.
+// Sets when the route's queue is checked next: at once if a query can leave it, else at the next token.
 void Limiter::schedule_queue_check(TimeUs now, const std::shared_ptr<RouteState>& state) {
   if (state->next_check_at > 0) queue_checks_.erase({state->next_check_at, state->serial});
   state->next_check_at = 0;
   if (state->waiting == 0) return;
-  const bool blocked = !state->closed() && !state->has_free_slot();  // until one that is under way is over
+  const bool blocked = !state->closed() && !state->has_free_slot();  // until a query under way ends
   if (blocked) return;
   const TimeUs token = state->bucket ? state->bucket->next_token_at() : now;
   state->next_check_at = std::max<TimeUs>(std::max(token, now), 1);
@@ -246,7 +249,7 @@
 std::optional<EndedWait> Limiter::end_due_wait(TimeUs now) {
   while (!queue_checks_.empty() && queue_checks_.begin()->first.first <= now) {
     const std::shared_ptr<RouteState> state = queue_checks_.begin()->second;
-    while (!state->queue.empty()) {  // ids of queries that left the line by another way
+    while (!state->queue.empty()) {  // ids of queries that have left the queue
       const auto it = queries_.find(state->queue.front());
       if (it != queries_.end() && it->second.is_waiting && it->second.limits->state() == state) break;
       state->queue.pop_front();
@@ -254,7 +257,7 @@
     const bool open = state->closed() || (state->has_free_slot() && state->has_token(now));
     if (state->queue.empty() || !open) {
       schedule_queue_check(now, state);
-      if (state->next_check_at > 0 && state->next_check_at <= now) {  // lest one line hold up all others
+      if (state->next_check_at > 0 && state->next_check_at <= now) {  // else one queue would block all others
         queue_checks_.erase({state->next_check_at, state->serial});
         state->next_check_at = 0;
       }
@@ -264,7 +267,7 @@
     state->queue.pop_front();
     const auto it = queries_.find(id);
     leave_queue(it->second, id);
-    if (state->closed()) {  // a file closed the route meanwhile
+    if (state->closed()) {  // a new file closed the route meanwhile
       schedule_queue_check(now, state);
       queries_.erase(it);
       return EndedWait{id, refuse(*state, Reason::kClosed, settings_.limits.max_retry_after)};
@@ -301,7 +304,8 @@
   if (it == queries_.end()) return;
   Entry& entry = it->second;
   entry.limits->attempt_ended(now);
-  // One that was given up took at least so long: without it, what hangs would not be seen by the bound.
+  // A timed out attempt took at least that long: without it, the adaptive bound would not see engines that
+  // hang.
   const bool has_latency = kind == OutcomeKind::kOk || kind == OutcomeKind::kTimeout;
   if (!has_latency) return;
   if (kind == OutcomeKind::kOk) latencies_[static_cast<std::size_t>(entry.class_index)]->add(latency);
--- a/src/limits/pass.cpp
+++ b/src/limits/pass.cpp
@@ -7,7 +7,7 @@
 namespace orchidgw::limits {
 namespace {
 
-// SplitMix64 (Steele, Lea, Flood 2014): one number in [0, 1) for each seed.
+// SplitMix64 (Steele, Lea, Flood 2014): maps each seed to one number in [0, 1).
 double uniform(std::uint64_t seed) {
   std::uint64_t x = seed + 0x9e3779b97f4a7c15ULL;
   x = (x ^ (x >> 30)) * 0xbf58476d1ce4e5b9ULL;
@@ -61,7 +61,7 @@
   const Bounds& b = route_->bounds;
   if (b.attempts && sent >= b.attempts->value) return deny_retry(Reason::kAttempts);
   const bool copies = b.second_copy && b.second_copy->value.when != SecondCopy::When::kNever;
-  // Where the file is silent on copies, the settings and the module's own rules hold.
+  // If the file does not state second_copy, the settings and the decision module's own rules apply.
   if (in_flight > 0 && b.second_copy && !copies) return deny_retry(Reason::kAttempts);
   if (in_flight == 0 && now < next_send_at_) return false;
   return retry_budgets_allow(now);
@@ -87,13 +87,13 @@
 bool RouteQueryLimits::copy_due(TimeUs now, TimeUs sent_at, int sent) const {
   const Bounds& b = route_->bounds;
   if (!class_allows_repeats_ || sent != 1 || !b.second_copy)
-    return false;  // one copy: a third would only add load
+    return false;  // one copy at most: a third attempt would only add load
   if (b.attempts && sent >= b.attempts->value) return false;
   const TimeUs delay = second_copy_delay(b.second_copy->value);
   return delay > 0 && now >= sent_at + delay && retry_budgets_allow(now);
 }
 
-// 0: none; a quantile gives none before its class was learned.
+// Returns 0 for no copy; a quantile gives none until enough latencies of the class are known.
 TimeUs RouteQueryLimits::second_copy_delay(const SecondCopy& copy) const {
   if (copy.when == SecondCopy::When::kNever) return 0;
   if (copy.when == SecondCopy::When::kDelay) return copy.delay;
--- a/src/limits/retry_budget.cpp
+++ b/src/limits/retry_budget.cpp
@@ -5,7 +5,7 @@
 namespace orchidgw::limits {
 namespace {
 
-constexpr double kRoundingTolerance = 1e-9;  // shares are decimal fractions: 0.1 x 10 must allow one
+constexpr double kRoundingTolerance = 1e-9;  // shares are decimal fractions: 0.1 x 10 has to allow one retry
 
 }  // namespace
 
@@ -16,7 +16,7 @@
   const std::int64_t number = slot_number_at(now);
   Slot& slot = slots_[static_cast<std::size_t>(number) % slots_.size()];
   if (slot.number < number) slot = {number, 0, 0};
-  return slot;  // one that is later than now (the clock went back) is counted in as it stands
+  return slot;  // a slot later than now (the clock went back) also counts what comes now
 }
 
 bool RetryBudget::allows_retry(TimeUs now) const {
@@ -26,8 +26,9 @@
   for (const Slot& slot : slots_) {
     if (slot.number < 0) continue;
     const TimeUs slot_start = slot.number * slot_width_;
-    if (slot_start + slot_width_ > window_start) retries += slot.retries;  // any part of it may be inside
-    if (slot_start > window_start && slot_start <= now) queries += slot.queries;  // all of it is inside
+    if (slot_start + slot_width_ > window_start)
+      retries += slot.retries;  // part of the slot may be inside the window
+    if (slot_start > window_start && slot_start <= now) queries += slot.queries;  // the whole slot is inside
   }
   const double allowed = settings_.floor + settings_.share * static_cast<double>(queries);
   return static_cast<double>(retries) + 1 <= allowed + kRoundingTolerance;
--- a/src/limits/route_state.cpp
+++ b/src/limits/route_state.cpp
@@ -5,7 +5,8 @@
 namespace orchidgw::limits {
 namespace {
 
-// A fleet's limit is this controller's part of it; the burst goes with the rate, but for one query at least.
+// Returns this controller's share of a limit that the fleet divides, any other limit unchanged. The burst is
+// reduced in proportion to the rate, but admits at least one query.
 Maybe<Rate> own_share(const Maybe<Rate>& rate, const std::string& route, const FleetLimits* fleet) {
   if (!rate || !rate->value.fleet) return rate;
   Maybe<Rate> out = rate;
@@ -37,8 +38,8 @@
   if (state.bucket)
     return fleet ? state.bucket->change_level(now, rate->value) : state.bucket->reconfigure(rate->value);
   state.bucket.emplace(rate->value);
-  // Guards against a full bucket with each lease that comes after none.
-  if (fleet && !first_rate) state.bucket->empty(now);
+  // Without this, each lease that follows a time without one would bring a full bucket.
+  if (fleet && !first_rate) state.bucket->drain(now);
 }
 
 void set_concurrency(RouteState& state, const Maybe<Concurrency>& concurrency) {
--- a/tests/limits/limiter_test.cpp
+++ b/tests/limits/limiter_test.cpp
@@ -128,7 +128,7 @@
     limiter.over(now, id);
   }
   const auto states = limiter.route_states();
-  EXPECT_LT(states[0]->line.size(), 200U);
+  EXPECT_LT(states[0]->queue.size(), 200U);
   EXPECT_EQ(states[0]->waiting, 1);
   limiter.over(now, 1);
   EXPECT_EQ(released(now + 1), std::vector<std::string>{"2 in at 0"});
