--- a/tests/limits/bad_files_test.cpp
+++ b/tests/limits/bad_files_test.cpp
@@ -1,4 +1,4 @@
-// Files that are wrong in one way each: every one is refused, with its line, its path and the exact reason.
+// Operator files with one error each: every one is refused with the line, the path and the exact reason.
 #include <set>
 
 #include "deployment.h"
@@ -8,33 +8,33 @@
 
 struct BadFile {
   const char* name;
-  std::string body;  // behind "version: 1", before the end marker
+  std::string body;  // between "version: 1" and the end marker
   std::vector<std::string> faults;
 };
 
-std::string route(const std::string& match, const std::string& bounds) {
+std::string route_file(const std::string& match, const std::string& bounds) {
   return "routes:\n- name: r\n  match: {" + match + "}\n" + bounds;
 }
 
-std::string nested(int depth) {
+std::string nested_lists(int depth) {
   return "routes: " + std::string(static_cast<std::size_t>(depth), '[') +
          std::string(static_cast<std::size_t>(depth), ']') + "\n";
 }
 
-std::vector<BadFile> bad_forms() {
+std::vector<BadFile> files_with_bad_syntax() {
   return {
       {"unknown_field", "rutes: []\n", {"f:2:1: rutes: unknown field"}},
       {"unknown_field_of_a_route",
-       route("class: lookup", "  time_out: 1s\n"),
+       route_file("class: lookup", "  time_out: 1s\n"),
        {"f:5:3: routes[0].time_out: unknown field"}},
       {"unknown_field_of_a_match",
-       route("klass: lookup", ""),
+       route_file("klass: lookup", ""),
        {"f:4:11: routes[0].match.klass: unknown field"}},
       {"key_twice",
        "defaults: {attempts: 1}\ndefaults: {attempts: 2}\n",
        {"f:3:1: the key 'defaults' stands here twice"}},
       {"key_twice_in_a_route",
-       route("class: lookup", "  timeout: 1s\n  timeout: 2s\n"),
+       route_file("class: lookup", "  timeout: 1s\n  timeout: 2s\n"),
        {"f:6:3: the key 'timeout' stands here twice"}},
       {"anchor", "defaults: &a {attempts: 1}\n", {"f:2:11: anchors are not taken"}},
       {"alias", "defaults: *a\n", {"f:2:11: no YAML: the referenced anchor is not defined"}},
@@ -47,7 +47,7 @@
       {"tilde", "defaults: {timeout: ~}\n", {"f:2:12: defaults.timeout: the field has no value"}},
       {"unbalanced", "defaults: {attempts: 1\n", {"f:3:1: no YAML: end of map flow not found"}},
       {"tab_for_indentation", "defaults:\n\tattempts: 1\n", {"f:3:10: no YAML: illegal map value"}},
-      {"nested_too_deeply", nested(20), {"f:2:20: nested too deeply"}},
+      {"nested_too_deeply", nested_lists(20), {"f:2:20: nested too deeply"}},
       {"two_documents", "---\nversion: 1\n", {"f:1:1: more than one document"}},
       {"time_without_unit",
        "defaults: {timeout: 250}\n",
@@ -123,23 +123,23 @@
       {"route_without_name", "routes:\n- match: {class: lookup}\n", {"f:3:3: routes[0].name: missing"}},
       {"route_without_match", "routes:\n- name: r\n", {"f:3:3: routes[0].match: missing"}},
       {"route_that_matches_all",
-       route("", ""),
+       route_file("", ""),
        {"f:4:10: routes[0].match: matches everything: that is what defaults are for"}},
       {"route_name_with_spaces",
        "routes:\n- name: a b\n  match: {class: lookup}\n",
        {"f:3:9: routes[0].name: a name of letters, digits, '-', '_' and '.' is wanted, 64 at most"}},
       {"table_in_upper_case",
-       route("table: Sales_1.orders", ""),
+       route_file("table: Sales_1.orders", ""),
        {"f:4:18: routes[0].match.table: a table like sales_17.orders or a prefix like sales_* is wanted, in "
         "lower "
         "case"}},
       {"table_that_is_a_star",
-       route("table: '*'", ""),
+       route_file("table: '*'", ""),
        {"f:4:18: routes[0].match.table: a table like sales_17.orders or a prefix like sales_* is wanted, in "
         "lower "
         "case"}},
       {"key_of_no_kind",
-       route("key: maybe", ""),
+       route_file("key: maybe", ""),
        {"f:4:16: routes[0].match.key: one of these is wanted: given, absent"}},
       {"log_level_unknown",
        "log: {level: loud}\n",
@@ -155,17 +155,17 @@
   };
 }
 
-std::vector<BadFile> bad_senses() {
+std::vector<BadFile> files_with_bad_semantics() {
   const std::string two = "routes:\n- name: a\n  match: {class: lookup}\n- name: b\n  match: ";
   return {
       {"class_that_the_settings_lack",
-       route("class: lokup", ""),
+       route_file("class: lokup", ""),
        {"f:4:18: routes[0].match.class: the settings have no class 'lokup'"}},
       {"tenant_that_the_settings_lack",
-       route("tenant: nobody", ""),
+       route_file("tenant: nobody", ""),
        {"f:4:19: routes[0].match.tenant: the settings have no tenant 'nobody'"}},
       {"keyed_class_without_key",
-       route("class: load, key: absent", ""),
+       route_file("class: load, key: absent", ""),
        {"f:4:29: routes[0].match.key: never matches: queries of class 'load' always carry a key"}},
       {"name_twice",
        "routes:\n- name: a\n  match: {class: lookup}\n- name: a\n  match: {class: report}\n",
@@ -174,10 +174,10 @@
        "routes:\n- name: defaults\n  match: {class: lookup}\n",
        {"f:3:3: routes[0].name: the name 'defaults' is taken"}},
       {"like_an_unknown_route",
-       route("class: lookup", "  like: x\n"),
+       route_file("class: lookup", "  like: x\n"),
        {"f:5:9: routes[0].like: no route has the name 'x'"}},
       {"like_itself",
-       route("class: lookup", "  like: r\n"),
+       route_file("class: lookup", "  like: r\n"),
        {"f:5:9: routes[0].like: a route can't be like itself"}},
       {"like_over_two_levels",
        "routes:\n- name: a\n  match: {class: lookup}\n- name: b\n  match: {class: report}\n  like: a\n"
@@ -198,92 +198,92 @@
        "defaults: {attempts: 4}\n",
        {"f:2:22: defaults.attempts: over the settings' most of 3"}},
       {"timeout_over_the_deadline",
-       route("class: lookup", "  timeout: 9s\n"),
+       route_file("class: lookup", "  timeout: 9s\n"),
        {"f:5:12: routes[0].timeout: longer than the clients' deadline of 8s"}},
       {"attempt_timeout_over_the_deadline",
-       route("class: lookup", "  attempt_timeout: 9s\n"),
+       route_file("class: lookup", "  attempt_timeout: 9s\n"),
        {"f:5:20: routes[0].attempt_timeout: longer than the clients' deadline of 8s"}},
       {"hold_over_the_deadline",
-       route("class: lookup", "  longest_hold: 9s\n"),
+       route_file("class: lookup", "  longest_hold: 9s\n"),
        {"f:5:17: routes[0].longest_hold: longer than the clients' deadline of 8s"}},
       {"attempt_timeout_not_below_timeout",
-       route("class: lookup", "  timeout: 2s\n  attempt_timeout: 2s\n"),
+       route_file("class: lookup", "  timeout: 2s\n  attempt_timeout: 2s\n"),
        {"f:6:20: routes[0].attempt_timeout: attempt_timeout is not shorter than the timeout"}},
       {"hold_not_below_an_inherited_timeout",
-       "defaults: {timeout: 2s}\n" + route("class: lookup", "  longest_hold: 3s\n"),
+       "defaults: {timeout: 2s}\n" + route_file("class: lookup", "  longest_hold: 3s\n"),
        {"f:6:17: routes[0].longest_hold: longest_hold is not shorter than the timeout"}},
       {"timeout_below_an_inherited_hold",
-       "defaults: {longest_hold: 3s}\n" + route("class: lookup", "  timeout: 2s\n"),
+       "defaults: {longest_hold: 3s}\n" + route_file("class: lookup", "  timeout: 2s\n"),
        {"f:6:12: routes[0].timeout: longest_hold is not shorter than the timeout"}},
       {"back_off_first_over_most",
        "defaults: {back_off: {first: 2s, most: 1s}}\n",
        {"f:2:22: defaults.back_off.first: longer than back_off.most"}},
       {"back_off_over_the_timeout",
-       route("class: lookup", "  timeout: 1s\n  back_off: {first: 2s}\n"),
+       route_file("class: lookup", "  timeout: 1s\n  back_off: {first: 2s}\n"),
        {"f:6:13: routes[0].back_off.first: no other attempt could begin within 1s"}},
       {"back_off_with_one_attempt",
-       route("class: lookup", "  attempts: 1\n  back_off: {first: 20ms}\n"),
+       route_file("class: lookup", "  attempts: 1\n  back_off: {first: 20ms}\n"),
        {"f:6:13: routes[0].back_off: has no effect: there is one attempt only"}},
       {"retry_on_with_one_attempt",
-       route("class: lookup", "  attempts: 1\n  retry_on: [full]\n"),
+       route_file("class: lookup", "  attempts: 1\n  retry_on: [full]\n"),
        {"f:6:13: routes[0].retry_on: has no effect: there is one attempt only"}},
       {"retries_with_one_attempt",
-       route("class: lookup", "  attempts: 1\n  retries: {share: 10%}\n"),
+       route_file("class: lookup", "  attempts: 1\n  retries: {share: 10%}\n"),
        {"f:6:12: routes[0].retries: has no effect: there is one attempt only"}},
       {"copy_with_one_attempt",
-       route("class: lookup", "  attempts: 1\n  second_copy: {after: 1s}\n"),
+       route_file("class: lookup", "  attempts: 1\n  second_copy: {after: 1s}\n"),
        {"f:6:16: routes[0].second_copy: has no effect: there is one attempt only"}},
       {"copy_of_an_unsafe_class",
-       route("class: once", "  second_copy: {after: 1s}\n"),
+       route_file("class: once", "  second_copy: {after: 1s}\n"),
        {"f:5:16: routes[0].second_copy: the class 'once' forbids repeats"}},
       {"copy_of_a_class_in_order",
-       route("class: ordered", "  second_copy: {after: 1s}\n"),
+       route_file("class: ordered", "  second_copy: {after: 1s}\n"),
        {"f:5:16: routes[0].second_copy: the class 'ordered' keeps an order: no copies"}},
       {"copy_that_an_unsafe_class_inherits",
        "routes:\n- name: a\n  match: {class: lookup}\n  second_copy: {after: 1s}\n- name: b\n"
        "  match: {class: once}\n  like: a\n",
        {"f:5:16: routes[1].second_copy: the class 'once' forbids repeats"}},
       {"copy_past_the_deadline",
-       route("class: lookup", "  second_copy: {after: 8s}\n"),
+       route_file("class: lookup", "  second_copy: {after: 8s}\n"),
        {"f:5:16: routes[0].second_copy.after: not before the clients' deadline"}},
       {"copy_past_the_timeout",
-       route("class: lookup", "  timeout: 2s\n  second_copy: {after: 3s}\n"),
+       route_file("class: lookup", "  timeout: 2s\n  second_copy: {after: 3s}\n"),
        {"f:6:16: routes[0].second_copy.after: not before the timeout"}},
       {"copy_bounds_that_cross",
-       route("class: lookup", "  second_copy: {after_quantile: 0.9, at_least: 2s, at_most: 1s}\n"),
+       route_file("class: lookup", "  second_copy: {after_quantile: 0.9, at_least: 2s, at_most: 1s}\n"),
        {"f:5:16: routes[0].second_copy.at_least: longer than second_copy.at_most"}},
       {"copy_outside_the_key's_window",
-       route("class: load", "  second_copy: {after: 12s}\n"),
+       route_file("class: load", "  second_copy: {after: 12s}\n"),
        {"f:5:16: routes[0].second_copy.after: the copy would come after the window of 12s in which engines "
         "drop "
         "repeats of class 'load'"}},
       {"copy_of_a_keyed_class_without_bound",
-       route("class: load", "  second_copy: {after_quantile: 0.9}\n"),
+       route_file("class: load", "  second_copy: {after_quantile: 0.9}\n"),
        {"f:5:16: routes[0].second_copy.at_most: needed, below the window of 12s in which engines drop "
         "repeats of "
         "class 'load'"}},
       {"copy_outside_the_key's_scope",
-       route("class: cell-load", "  second_copy: {after: 1s}\n"),
+       route_file("class: cell-load", "  second_copy: {after: 1s}\n"),
        {"f:5:16: routes[0].second_copy: engines drop repeats of class 'cell-load' only within a part of the "
         "fleet"}},
       {"attempt_outside_the_key's_window",
-       route("class: load", "  attempt_timeout: 12s\n"),
+       route_file("class: load", "  attempt_timeout: 12s\n"),
        {"f:5:20: routes[0].attempt_timeout: another attempt would come after the window of 12s in which "
         "engines "
         "drop repeats of class 'load'"}},
       {"back_off_outside_the_key's_window",
-       route("class: load", "  back_off: {first: 13s, most: 14s}\n"),
+       route_file("class: load", "  back_off: {first: 13s, most: 14s}\n"),
        {"f:5:13: routes[0].back_off.first: another attempt would come after the window of 12s in which "
         "engines "
         "drop repeats of class 'load'"}},
       {"retry_of_an_unsafe_class_that_may_have_run",
-       route("class: once", "  retry_on: [full, error]\n"),
+       route_file("class: once", "  retry_on: [full, error]\n"),
        {"f:5:13: routes[0].retry_on: the class 'once' forbids repeats: after 'error' it may have run"}},
       {"adaptive_bound_upside_down",
-       route("class: lookup", "  concurrency: {least: 9, most: 8}\n"),
+       route_file("class: lookup", "  concurrency: {least: 9, most: 8}\n"),
        {"f:5:16: routes[0].concurrency.least: above concurrency.most"}},
       {"line_for_nothing",
-       route("class: lookup", "  line: 5\n"),
+       route_file("class: lookup", "  line: 5\n"),
        {"f:5:9: routes[0].line: has no effect: neither a rate nor a concurrency is stated"}},
       {"share_over_the_rule",
        "retries: {share: 0.3, floor: 1}\n",
@@ -300,10 +300,10 @@
        {"f:2:21: retries: the floors of all routes add up to 3, over the rule's 2: state retries over all "
         "routes"}},
       {"closed_by_a_rate",
-       route("class: lookup", "  rate: {per_second: 0}\n"),
+       route_file("class: lookup", "  rate: {per_second: 0}\n"),
        {"f:5:9: routes[0].rate: closes the class 'lookup': no other route lets its queries in"}},
       {"closed_by_a_bound",
-       route("class: lookup", "  concurrency: 0\n"),
+       route_file("class: lookup", "  concurrency: 0\n"),
        {"f:5:16: routes[0].concurrency: closes the class 'lookup': no other route lets its queries in"}},
   };
 }
@@ -317,17 +317,19 @@
   }
 }
 
-TEST(BadFiles, OfABadFormAreRefusedWithTheirReason) { expect_refused(bad_forms()); }
+TEST(BadFiles, OfABadFormAreRefusedWithTheirReason) { expect_refused(files_with_bad_syntax()); }
 
-TEST(BadFiles, OfABadSenseAreRefusedWithTheirReason) { expect_refused(bad_senses()); }
+TEST(BadFiles, OfABadSenseAreRefusedWithTheirReason) { expect_refused(files_with_bad_semantics()); }
 
-TEST(BadFiles, AreManyAndOfAllKinds) { EXPECT_GE(bad_forms().size() + bad_senses().size(), 60U); }
+TEST(BadFiles, AreManyAndOfAllKinds) {
+  EXPECT_GE(files_with_bad_syntax().size() + files_with_bad_semantics().size(), 60U);
+}
 
 TEST(BadFiles, CopiesWhereTheSettingsForbidTwoInFlight) {
   Settings settings = deployment();
   settings.limits.second_copies = false;
   EXPECT_EQ(
-      faults_in(whole_file(route("class: lookup", "  second_copy: {after: 1s}\n")), settings),
+      faults_in(whole_file(route_file("class: lookup", "  second_copy: {after: 1s}\n")), settings),
       std::vector<std::string>{"f:5:16: routes[0].second_copy: the settings forbid two attempts in flight"});
 }
 
@@ -348,22 +350,22 @@
   }
 }
 
-// Guards against a prefix of a good file that is a good file itself.
+// Guards against a truncated file that passes for a valid one.
 TEST(BadFiles, NoPrefixOfAGoodFileIsTaken) {
-  const std::string good =
-      whole_file("defaults:\n  attempts: 2\n" + route("class: lookup", "  timeout: 2s\n"));
-  ASSERT_TRUE(faults_in(good, deployment()).empty());
-  for (std::size_t n = 0; n + 1 < good.size(); ++n)
-    EXPECT_FALSE(faults_in(good.substr(0, n), deployment()).empty()) << n;
+  const std::string valid =
+      whole_file("defaults:\n  attempts: 2\n" + route_file("class: lookup", "  timeout: 2s\n"));
+  ASSERT_TRUE(faults_in(valid, deployment()).empty());
+  for (std::size_t n = 0; n + 1 < valid.size(); ++n)
+    EXPECT_FALSE(faults_in(valid.substr(0, n), deployment()).empty()) << n;
 }
 
 TEST(BadFiles, ThatAreNoText) {
-  const auto why = [](const std::string& text) { return faults_in(text, deployment()).at(0); };
-  EXPECT_EQ(why("version: 1\nlog: \xff\n...\n"), "f:2:6: not a text in UTF-8");
-  EXPECT_EQ(why("version: 1\n\xc0\xaf\n...\n"), "f:2:1: not a text in UTF-8");
-  EXPECT_EQ(why("version: 1\n\xed\xa0\x80\n...\n"), "f:2:1: not a text in UTF-8");
-  EXPECT_EQ(why(std::string("version: 1\n\0\n...\n", 17)), "f:2:1: not a text in UTF-8");
-  EXPECT_EQ(why(std::string(1024 * 1024 + 1, '#')), "f:1:1: over 1048576 bytes");
+  const auto first_fault = [](const std::string& text) { return faults_in(text, deployment()).at(0); };
+  EXPECT_EQ(first_fault("version: 1\nlog: \xff\n...\n"), "f:2:6: not a text in UTF-8");
+  EXPECT_EQ(first_fault("version: 1\n\xc0\xaf\n...\n"), "f:2:1: not a text in UTF-8");
+  EXPECT_EQ(first_fault("version: 1\n\xed\xa0\x80\n...\n"), "f:2:1: not a text in UTF-8");
+  EXPECT_EQ(first_fault(std::string("version: 1\n\0\n...\n", 17)), "f:2:1: not a text in UTF-8");
+  EXPECT_EQ(first_fault(std::string(1024 * 1024 + 1, '#')), "f:1:1: over 1048576 bytes");
 }
 
 TEST(BadFiles, OfMoreRoutesThanTheMemoryAllows) {
@@ -377,7 +379,7 @@
             "f:6:3: routes: more routes than the memory limit allows: 3 at most");
 }
 
-// Guards against anchors that expand without end: refused before anything is expanded.
+// Guards against anchors that expand exponentially: they are refused before any is expanded.
 TEST(BadFiles, ABillionLaughs) {
   std::string body = "a: &a [x, x, x, x, x, x, x, x, x]\n";
   for (char c = 'b'; c < 'k'; ++c) {
--- a/tests/limits/deployment.h
+++ b/tests/limits/deployment.h
@@ -1,4 +1,4 @@
-// Settings that have one class of each kind, for the tests of limits; and a file's text made into limits.
+// For tests of limits: settings with one class of each kind, and limits read from an operator file's text.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -51,8 +51,10 @@
   return s;
 }
 
+// A complete operator file: `body` with the version before it and the end marker after it.
 inline std::string whole_file(const std::string& body) { return "version: 1\n" + body + "...\n"; }
 
+// Reads and checks a complete operator file; returns its faults as the program prints them, for file "f".
 inline std::vector<std::string> faults_in(const std::string& text, const Settings& settings) {
   const auto read = operator_file::read_operator_file(text);
   auto faults = read.faults;
@@ -62,6 +64,7 @@
   return out;
 }
 
+// Returns the limits of a file with that body; the test fails if the file has faults.
 inline std::shared_ptr<const LimitSet> limits_of(const std::string& body,
                                                  const Settings& settings = deployment()) {
   const std::string text = whole_file(body);
--- a/tests/limits/limiter_test.cpp
+++ b/tests/limits/limiter_test.cpp
@@ -1,4 +1,5 @@
-// The limits station on a clock moved by hand: who is let in, waits, is refused; what a reload carries over.
+// Limiter with a simulated clock: which queries are admitted, queued or refused, and what a reload carries
+// over.
 #include <set>
 
 #include "deployment.h"
@@ -11,13 +12,13 @@
 
 class LimiterTest : public ::testing::Test {
  protected:
-  void file(const std::string& body) { limiter.put_in_force(now, limits_of(body, settings)); }
+  void activate_file(const std::string& body) { limiter.put_in_force(now, limits_of(body, settings)); }
 
   Verdict admit(QueryId id, int c = 0, TimeUs budget = 5 * kSecond) {
     return limiter.admit(now, {id, c, "acme", "sales_1.orders", c == 2, budget});
   }
 
-  std::vector<std::string> released(TimeUs until) {
+  std::vector<std::string> ended_waits_until(TimeUs until) {
     std::vector<std::string> out;
     while (limiter.next_due() && *limiter.next_due() <= until) {
       now = std::max(now, *limiter.next_due());
@@ -45,67 +46,67 @@
 }
 
 TEST_F(LimiterTest, HoldsByTheRateAndLetsInInTurn) {
-  file(
+  activate_file(
       "routes:\n- name: r\n  match: {class: lookup}\n  rate: {per_second: 10, burst: 2}\n  longest_hold: "
       "450ms\n");
   EXPECT_EQ(admit(1).kind, Kind::kLetIn);
   EXPECT_EQ(admit(2).kind, Kind::kLetIn);
   for (QueryId id = 3; id <= 6; ++id) EXPECT_EQ(admit(id).kind, Kind::kWait) << id;
-  // Its token would come after its hold: refused early, with the time by which there will be one.
+  // Its token would come after its longest hold: it is refused at once, with a retry-after up to that token.
   const Verdict late = admit(7);
   EXPECT_EQ(late.kind, Kind::kRefuse);
   EXPECT_EQ(late.reason, Reason::kRate);
-  EXPECT_EQ(late.retry_after, 500 * kMs);     // as long as the settings let it say
+  EXPECT_EQ(late.retry_after, 500 * kMs);     // the settings' maximum
   EXPECT_EQ(admit(8, 1).kind, Kind::kLetIn);  // another route
   const std::vector<std::string> in = {"3 in at 100", "4 in at 200", "5 in at 300", "6 in at 400"};
-  EXPECT_EQ(released(kStart + kSecond), in);
+  EXPECT_EQ(ended_waits_until(kStart + kSecond), in);
   EXPECT_EQ(limiter.waiting(), 0U);
 }
 
 TEST_F(LimiterTest, HoldsForAPlaceUntilOneIsFree) {
-  file("routes:\n- name: r\n  match: {class: lookup}\n  concurrency: 2\n  longest_hold: 1s\n");
+  activate_file("routes:\n- name: r\n  match: {class: lookup}\n  concurrency: 2\n  longest_hold: 1s\n");
   admit(1);
   admit(2);
   EXPECT_EQ(admit(3).kind, Kind::kWait);
   EXPECT_EQ(admit(4).kind, Kind::kWait);
-  EXPECT_TRUE(released(kStart + 300 * kMs).empty());
+  EXPECT_TRUE(ended_waits_until(kStart + 300 * kMs).empty());
   limiter.over(now, 1);
-  EXPECT_EQ(released(kStart + 300 * kMs), std::vector<std::string>{"3 in at 300"});
-  EXPECT_EQ(released(kStart + 2 * kSecond), std::vector<std::string>{"4 held_too_long at 1000"});
+  EXPECT_EQ(ended_waits_until(kStart + 300 * kMs), std::vector<std::string>{"3 in at 300"});
+  EXPECT_EQ(ended_waits_until(kStart + 2 * kSecond), std::vector<std::string>{"4 held_too_long at 1000"});
   limiter.over(now, 2);
   limiter.over(now, 3);
   EXPECT_EQ(limiter.under_limits(), 0U);
 }
 
 TEST_F(LimiterTest, ALineHasItsBound) {
-  file("routes:\n- name: r\n  match: {class: lookup}\n  concurrency: 1\n  line: 2\n");
+  activate_file("routes:\n- name: r\n  match: {class: lookup}\n  concurrency: 1\n  line: 2\n");
   admit(1);
   EXPECT_EQ(admit(2).kind, Kind::kWait);
   EXPECT_EQ(admit(3).kind, Kind::kWait);
   const Verdict full = admit(4);
   EXPECT_EQ(full.reason, Reason::kLineFull);
   EXPECT_GT(full.retry_after, 0);
-  limiter.over(now, 2);  // its client left
+  limiter.over(now, 2);  // its client disconnected
   EXPECT_EQ(admit(5).kind, Kind::kWait);
 }
 
-// Guards against a hold that outlives the client: answered in time, however long the file lets it wait.
+// Guards against a wait longer than the client's: the query is answered in time, whatever longest_hold says.
 TEST_F(LimiterTest, AWaitEndsBeforeTheQuerysTime) {
-  file("routes:\n- name: r\n  match: {class: report}\n  concurrency: 1\n  longest_hold: 10s\n");
+  activate_file("routes:\n- name: r\n  match: {class: report}\n  concurrency: 1\n  longest_hold: 10s\n");
   admit(1, 1);
   EXPECT_EQ(admit(2, 1, 2 * kSecond).kind, Kind::kWait);
-  EXPECT_EQ(released(kStart + 5 * kSecond), std::vector<std::string>{"2 held_too_long at 1940"});
+  EXPECT_EQ(ended_waits_until(kStart + 5 * kSecond), std::vector<std::string>{"2 held_too_long at 1940"});
 }
 
-TEST_F(LimiterTest, UnlessToldItHoldsNoLongerThanTheAim) {
-  file("routes:\n- name: r\n  match: {class: report}\n  concurrency: 1\n");
+TEST_F(LimiterTest, WithoutALongestHoldAWaitEndsAtTheLatencyTarget) {
+  activate_file("routes:\n- name: r\n  match: {class: report}\n  concurrency: 1\n");
   admit(1, 1);
   admit(2, 1);
-  EXPECT_EQ(released(kStart + 5 * kSecond), std::vector<std::string>{"2 concurrency at 1000"});
+  EXPECT_EQ(ended_waits_until(kStart + 5 * kSecond), std::vector<std::string>{"2 concurrency at 1000"});
 }
 
 TEST_F(LimiterTest, AClosedRouteRefusesAtOnce) {
-  file("routes:\n- name: r\n  match: {class: lookup, tenant: acme}\n  concurrency: 0\n");
+  activate_file("routes:\n- name: r\n  match: {class: lookup, tenant: acme}\n  concurrency: 0\n");
   const Verdict closed = admit(1);
   EXPECT_EQ(closed.reason, Reason::kClosed);
   EXPECT_EQ(closed.retry_after, 500 * kMs);
@@ -114,13 +115,13 @@
 TEST_F(LimiterTest, WithoutRetryAfterInTheSettingsNoTimeIsTold) {
   settings.limits.retry_after = false;
   limiter = Limiter(settings, 1);
-  file("routes:\n- name: r\n  match: {class: lookup, tenant: acme}\n  concurrency: 0\n");
+  activate_file("routes:\n- name: r\n  match: {class: lookup, tenant: acme}\n  concurrency: 0\n");
   EXPECT_EQ(admit(1).retry_after, 0);
 }
 
-// Clients that come and leave while the first of the line waits must not make it grow.
-TEST_F(LimiterTest, ALineOfThoseWhoLeftStaysShort) {
-  file("routes:\n- name: r\n  match: {class: lookup}\n  concurrency: 1\n  longest_hold: 4s\n");
+// Guards against a queue that grows with clients that disconnect while the first query in it still waits.
+TEST_F(LimiterTest, AQueueDoesNotGrowWithClientsThatDisconnect) {
+  activate_file("routes:\n- name: r\n  match: {class: lookup}\n  concurrency: 1\n  longest_hold: 4s\n");
   admit(1);
   admit(2);
   for (QueryId id = 3; id < 10'000; ++id) {
@@ -131,11 +132,11 @@
   EXPECT_LT(states[0]->queue.size(), 200U);
   EXPECT_EQ(states[0]->waiting, 1);
   limiter.over(now, 1);
-  EXPECT_EQ(released(now + 1), std::vector<std::string>{"2 in at 0"});
+  EXPECT_EQ(ended_waits_until(now + 1), std::vector<std::string>{"2 in at 0"});
 }
 
 TEST_F(LimiterTest, TheRoutesTimeoutIsTheSmaller) {
-  file("routes:\n- name: r\n  match: {class: lookup}\n  timeout: 2s\n");
+  activate_file("routes:\n- name: r\n  match: {class: lookup}\n  timeout: 2s\n");
   admit(1);
   EXPECT_EQ(limiter.time_for(1, 5 * kSecond), 2 * kSecond);
   EXPECT_EQ(limiter.time_for(1, 1 * kSecond), 1 * kSecond);
@@ -146,10 +147,10 @@
 constexpr const char* kOneAttempt = "routes:\n- name: r\n  match: {class: lookup}\n  attempts: 1\n";
 
 TEST_F(LimiterTest, AReloadLeavesAQueryTheAttemptsWithWhichItBegan) {
-  file(kThreeAttempts);
+  activate_file(kThreeAttempts);
   admit(1);
   limiter.attempt_sent(now, 1);
-  file(kOneAttempt);
+  activate_file(kOneAttempt);
   admit(2);
   limiter.attempt_sent(now, 2);
   EXPECT_TRUE(limiter.pass_of(1)->may_follow(now, OutcomeKind::kError, 1));
@@ -161,12 +162,12 @@
   const std::string body =
       "routes:\n- name: r\n  match: {class: lookup}\n  concurrency: 2\n  rate: {per_second: 1, burst: 2}\n"
       "  retries: {share: 0, floor: 1}\n";
-  file(body);
+  activate_file(body);
   admit(1);
   admit(2);
   limiter.attempt_sent(now, 1);
   limiter.attempt_sent(now, 1);
-  file(body);
+  activate_file(body);
   EXPECT_NE(admit(3).kind, Kind::kLetIn);
   EXPECT_FALSE(limiter.pass_of(2)->may_follow(now, OutcomeKind::kError, 1));
   EXPECT_EQ(limiter.forbidden(2), Reason::kRetryShare);
@@ -174,34 +175,34 @@
 }
 
 TEST_F(LimiterTest, AReloadThatOpensTheBoundLetsTheLineIn) {
-  file("routes:\n- name: r\n  match: {class: lookup}\n  concurrency: 1\n");
+  activate_file("routes:\n- name: r\n  match: {class: lookup}\n  concurrency: 1\n");
   admit(1);
   admit(2);
   admit(3);
-  file("routes:\n- name: r\n  match: {class: lookup}\n  concurrency: 9\n");
-  EXPECT_EQ(released(now + 1), (std::vector<std::string>{"2 in at 0", "3 in at 0"}));
+  activate_file("routes:\n- name: r\n  match: {class: lookup}\n  concurrency: 9\n");
+  EXPECT_EQ(ended_waits_until(now + 1), (std::vector<std::string>{"2 in at 0", "3 in at 0"}));
 }
 
 TEST_F(LimiterTest, ARouteThatGoesStillServesItsLine) {
-  file("routes:\n- name: r\n  match: {class: lookup}\n  concurrency: 1\n");
+  activate_file("routes:\n- name: r\n  match: {class: lookup}\n  concurrency: 1\n");
   admit(1);
   admit(2);
-  file("defaults: {attempts: 2}\n");
+  activate_file("defaults: {attempts: 2}\n");
   EXPECT_EQ(admit(3).kind, Kind::kLetIn);  // under the new file
   limiter.over(now, 1);
-  EXPECT_EQ(released(now + 1), std::vector<std::string>{"2 in at 0"});
+  EXPECT_EQ(ended_waits_until(now + 1), std::vector<std::string>{"2 in at 0"});
 }
 
 TEST_F(LimiterTest, AReloadThatClosesARouteAnswersItsLineAtOnce) {
-  file("routes:\n- name: r\n  match: {class: lookup, tenant: acme}\n  concurrency: 1\n");
+  activate_file("routes:\n- name: r\n  match: {class: lookup, tenant: acme}\n  concurrency: 1\n");
   admit(1);
   admit(2);
-  file("routes:\n- name: r\n  match: {class: lookup, tenant: acme}\n  concurrency: 0\n");
-  EXPECT_EQ(released(now + 1), std::vector<std::string>{"2 closed at 0"});
+  activate_file("routes:\n- name: r\n  match: {class: lookup, tenant: acme}\n  concurrency: 0\n");
+  EXPECT_EQ(ended_waits_until(now + 1), std::vector<std::string>{"2 closed at 0"});
 }
 
 TEST_F(LimiterTest, TheBudgetOverAllRoutesHoldsBesideTheRoutes) {
-  file("retries: {share: 0, floor: 1}\n" + std::string(kThreeAttempts));
+  activate_file("retries: {share: 0, floor: 1}\n" + std::string(kThreeAttempts));
   admit(1);
   admit(2, 1);  // another route
   limiter.attempt_sent(now, 2);
@@ -210,30 +211,30 @@
 }
 
 TEST_F(LimiterTest, BackOffGrowsAndIsSpread) {
-  file(
+  activate_file(
       "routes:\n- name: r\n  match: {class: lookup}\n  back_off: {first: 100ms, most: 300ms, factor: 2, "
       "jitter: 0.5}\n");
-  std::set<TimeUs> waits;
+  std::set<TimeUs> delays;
   for (QueryId id = 1; id <= 20; ++id) {
     admit(id);
-    const auto pass = limiter.pass_of(id);
+    const auto query_limits = limiter.pass_of(id);
     TimeUs most = 100 * kMs;
     for (int sent = 1; sent <= 3; ++sent) {
       limiter.attempt_sent(now, id);
       limiter.attempt_ended(now, id, OutcomeKind::kError, kMs, 0);
-      const TimeUs wait = pass->next_send_at() - now;
-      EXPECT_LE(wait, most);
-      EXPECT_GE(wait, most / 2);
-      EXPECT_FALSE(pass->may_send(now, sent, 0));
-      waits.insert(wait);
+      const TimeUs delay = query_limits->next_send_at() - now;
+      EXPECT_LE(delay, most);
+      EXPECT_GE(delay, most / 2);
+      EXPECT_FALSE(query_limits->may_send(now, sent, 0));
+      delays.insert(delay);
       most = std::min<TimeUs>(2 * most, 300 * kMs);
     }
   }
-  EXPECT_GT(waits.size(), 50U);
+  EXPECT_GT(delays.size(), 50U);
 }
 
 TEST_F(LimiterTest, OnlyTheStatedEndsAreTriedAgain) {
-  file("routes:\n- name: r\n  match: {class: lookup}\n  retry_on: [connect_failed]\n");
+  activate_file("routes:\n- name: r\n  match: {class: lookup}\n  retry_on: [connect_failed]\n");
   admit(1);
   EXPECT_TRUE(limiter.pass_of(1)->may_follow(now, OutcomeKind::kConnectFailed, 1));
   EXPECT_FALSE(limiter.pass_of(1)->may_follow(now, OutcomeKind::kError, 1));
@@ -241,12 +242,12 @@
 }
 
 TEST_F(LimiterTest, ACopyComesAfterItsDelayOnceAndNeverOfAnUnsafeClass) {
-  file("routes:\n- name: r\n  match: {class: lookup}\n  second_copy: {after: 200ms}\n");
+  activate_file("routes:\n- name: r\n  match: {class: lookup}\n  second_copy: {after: 200ms}\n");
   admit(1);
-  const auto pass = limiter.pass_of(1);
-  EXPECT_FALSE(pass->copy_due(now + 199 * kMs, now, 1));
-  EXPECT_TRUE(pass->copy_due(now + 200 * kMs, now, 1));
-  EXPECT_FALSE(pass->copy_due(now + 200 * kMs, now, 2));
+  const auto query_limits = limiter.pass_of(1);
+  EXPECT_FALSE(query_limits->copy_due(now + 199 * kMs, now, 1));
+  EXPECT_TRUE(query_limits->copy_due(now + 200 * kMs, now, 1));
+  EXPECT_FALSE(query_limits->copy_due(now + 200 * kMs, now, 2));
   const RouteQueryLimits unsafe(
       std::make_shared<RouteLimits>(limiter.in_force()->find(0, "", "", false).operator*()),
       std::make_shared<RouteState>(), nullptr, nullptr, false, 1, now);
@@ -254,32 +255,34 @@
 }
 
 TEST_F(LimiterTest, ACopyAfterAQuantileFollowsWhatItsClassTakes) {
-  file("routes:\n- name: r\n  match: {class: lookup}\n  second_copy: {after_quantile: 0.9, at_most: 2s}\n");
+  activate_file(
+      "routes:\n- name: r\n  match: {class: lookup}\n  second_copy: {after_quantile: 0.9, at_most: 2s}\n");
   admit(1);
-  const auto pass = limiter.pass_of(1);
-  EXPECT_FALSE(pass->copy_due(now + 7 * kSecond, now, 1));  // nothing learned yet
+  const auto query_limits = limiter.pass_of(1);
+  EXPECT_FALSE(query_limits->copy_due(now + 7 * kSecond, now, 1));  // no latencies are known yet
   for (int i = 1; i <= 100; ++i) limiter.attempt_ended(now, 1, OutcomeKind::kOk, i * 10 * kMs, 0);
-  EXPECT_FALSE(pass->copy_due(now + 800 * kMs, now, 1));
-  EXPECT_TRUE(pass->copy_due(now + 1100 * kMs, now, 1));
+  EXPECT_FALSE(query_limits->copy_due(now + 800 * kMs, now, 1));
+  EXPECT_TRUE(query_limits->copy_due(now + 1100 * kMs, now, 1));
   for (int i = 1; i <= 1'000; ++i) limiter.attempt_ended(now, 1, OutcomeKind::kOk, 6 * kSecond, 0);
-  EXPECT_TRUE(pass->copy_due(now + 2 * kSecond, now, 1));  // at most
+  EXPECT_TRUE(query_limits->copy_due(now + 2 * kSecond, now, 1));  // bounded by at_most
 }
 
 TEST_F(LimiterTest, AnAdaptiveBoundShrinksWithSlowAnswers) {
-  file("routes:\n- name: r\n  match: {class: lookup}\n  concurrency: {least: 2, most: 40}\n  line: 0\n");
+  activate_file(
+      "routes:\n- name: r\n  match: {class: lookup}\n  concurrency: {least: 2, most: 40}\n  line: 0\n");
   QueryId id = 0;
-  const auto let_in = [&] {
+  const auto admit_until_refused = [&] {
     int n = 0;
     while (admit(++id).kind == Kind::kLetIn) ++n;
     return n;
   };
-  EXPECT_EQ(let_in(), 40);
+  EXPECT_EQ(admit_until_refused(), 40);
   for (int i = 0; i < 64; ++i) limiter.attempt_ended(now, 1, OutcomeKind::kOk, 100 * kMs, 100 * kMs);
   for (int i = 0; i < 640; ++i) limiter.attempt_ended(now, 1, OutcomeKind::kOk, 900 * kMs, 100 * kMs);
   for (QueryId q = 1; q <= id; ++q) limiter.over(now, q);
-  const int after = let_in();
-  EXPECT_LT(after, 10);
-  EXPECT_GE(after, 2);
+  const int reduced = admit_until_refused();
+  EXPECT_LT(reduced, 10);
+  EXPECT_GE(reduced, 2);
 }
 
 }  // namespace
--- a/tests/limits/parts_test.cpp
+++ b/tests/limits/parts_test.cpp
@@ -1,4 +1,5 @@
-// The parts of the limits, each on a clock moved by hand: finding a route, budgets, rates, bounds, quantiles.
+// The parts of the limits, with a simulated clock: route lookup, retry budgets, token buckets, adaptive
+// bounds and latency quantiles.
 #include <deque>
 #include <random>
 #include <set>
@@ -11,7 +12,7 @@
 
 constexpr TimeUs kStart = 1'000 * kSecond;
 
-std::string found(const LimitSet& set, int c, const char* tenant, const char* table, bool keyed) {
+std::string matching_route(const LimitSet& set, int c, const char* tenant, const char* table, bool keyed) {
   return set.find(c, tenant, table, keyed)->name;
 }
 
@@ -29,23 +30,23 @@
 
 TEST(RouteTable, TheMostSpecificWins) {
   const auto set = limits_of(kRoutes);
-  EXPECT_EQ(found(*set, 0, "beta", "stock_1.items", false), "class");
-  EXPECT_EQ(found(*set, 0, "acme", "stock_1.items", false), "class-tenant");
-  // Tenant before table, whatever the table.
-  EXPECT_EQ(found(*set, 0, "acme", "sales_17.orders", false), "class-tenant");
-  EXPECT_EQ(found(*set, 0, "beta", "sales_17.orders", false), "class-table");
-  EXPECT_EQ(found(*set, 0, "beta", "sales_3.orders", false), "class-prefix");
-  EXPECT_EQ(found(*set, 0, "beta", "sales_17.lines", false), "class-longer");
-  EXPECT_EQ(found(*set, 0, "beta", "sales_17.other", true), "class-longer-keyed");
-  // The longer prefix states a key that this one lacks: the shorter one has it.
-  EXPECT_EQ(found(*set, 0, "beta", "sales_17.other", false), "class-longer");
-  EXPECT_EQ(found(*set, 1, "acme", "sales_17.orders", false), "tenant");
-  EXPECT_EQ(found(*set, 1, "beta", "sales_17.orders", true), "table");
-  EXPECT_EQ(found(*set, 1, "beta", "x", true), "keyed");
-  EXPECT_EQ(found(*set, 1, "beta", "", false), "defaults");
+  EXPECT_EQ(matching_route(*set, 0, "beta", "stock_1.items", false), "class");
+  EXPECT_EQ(matching_route(*set, 0, "acme", "stock_1.items", false), "class-tenant");
+  // The tenant precedes the table, whatever the table is.
+  EXPECT_EQ(matching_route(*set, 0, "acme", "sales_17.orders", false), "class-tenant");
+  EXPECT_EQ(matching_route(*set, 0, "beta", "sales_17.orders", false), "class-table");
+  EXPECT_EQ(matching_route(*set, 0, "beta", "sales_3.orders", false), "class-prefix");
+  EXPECT_EQ(matching_route(*set, 0, "beta", "sales_17.lines", false), "class-longer");
+  EXPECT_EQ(matching_route(*set, 0, "beta", "sales_17.other", true), "class-longer-keyed");
+  // The longer prefix matches only keyed queries, and this one has no key: the shorter prefix matches.
+  EXPECT_EQ(matching_route(*set, 0, "beta", "sales_17.other", false), "class-longer");
+  EXPECT_EQ(matching_route(*set, 1, "acme", "sales_17.orders", false), "tenant");
+  EXPECT_EQ(matching_route(*set, 1, "beta", "sales_17.orders", true), "table");
+  EXPECT_EQ(matching_route(*set, 1, "beta", "x", true), "keyed");
+  EXPECT_EQ(matching_route(*set, 1, "beta", "", false), "defaults");
 }
 
-// The order must not hang on the routes' places in the file.
+// Compares with a linear search: the result must not depend on the order of the routes in the file.
 TEST(RouteTable, AgreesWithAPlainSearchInAnyOrder) {
   std::mt19937 random(7);
   const std::vector<std::string> tables = {"a", "ab", "abc", "abd", "b", "ba", "bab"};
@@ -60,19 +61,19 @@
     std::vector<Route> routes;
     std::set<std::string> seen;
     for (int i = 0; i < 25; ++i) {
-      Route r;
-      r.name = "r" + std::to_string(i);
-      if (random() % 2 == 0) r.match.class_name = {random() % 2 == 0 ? "lookup" : "report", {}};
-      if (random() % 3 == 0) r.match.tenant = {random() % 2 == 0 ? "acme" : "beta", {}};
+      Route route;
+      route.name = "r" + std::to_string(i);
+      if (random() % 2 == 0) route.match.class_name = {random() % 2 == 0 ? "lookup" : "report", {}};
+      if (random() % 3 == 0) route.match.tenant = {random() % 2 == 0 ? "acme" : "beta", {}};
       if (random() % 2 == 0)
-        r.match.table = {TablePattern{tables[random() % tables.size()], random() % 2 == 0}, {}};
-      if (random() % 3 == 0) r.match.key = {random() % 2 == 0 ? KeyMatch::kGiven : KeyMatch::kAbsent, {}};
-      const auto& m = r.match;
+        route.match.table = {TablePattern{tables[random() % tables.size()], random() % 2 == 0}, {}};
+      if (random() % 3 == 0) route.match.key = {random() % 2 == 0 ? KeyMatch::kGiven : KeyMatch::kAbsent, {}};
+      const auto& m = route.match;
       const std::string id = (m.class_name ? m.class_name->value : "*") + "|" +
                              (m.tenant ? m.tenant->value : "*") + "|" +
                              (m.table ? m.table->value.text + (m.table->value.prefix ? "^" : "") : "*") +
                              "|" + std::to_string(static_cast<int>(m.key_or_any()));
-      if (seen.insert(id).second) routes.push_back(r);
+      if (seen.insert(id).second) routes.push_back(route);
     }
     const RouteTable table(deployment(), routes);
     for (int q = 0; q < 40; ++q) {
@@ -98,7 +99,7 @@
   }
 }
 
-// Never looser than the exact window, wherever the clock stands at its edge.
+// Guards against a budget that is looser than the exact window at some position of its edges.
 TEST(RetryBudget, KeepsToTheExactSlidingWindow) {
   std::mt19937 random(11);
   const RetryShare settings{0.2, 2, 10 * kSecond};
@@ -121,7 +122,7 @@
                 settings.floor + settings.share * static_cast<double>(queries.size()) + 1e-9);
     }
   }
-  EXPECT_GT(allowed, 1'000);  // nor much tighter
+  EXPECT_GT(allowed, 1'000);  // it is not much stricter either
 }
 
 TEST(RetryBudget, BeginsWithItsFloorAlone) {
@@ -144,7 +145,7 @@
   EXPECT_TRUE(budget.allows_retry(kStart + 22 * kSecond));
 }
 
-// Guards against queries of the old window that count in a new, longer one.
+// Guards against queries of the old window that count in a new, longer window.
 TEST(RetryBudget, ANewWindowForgetsTheQueriesLetIn) {
   RetryBudget budget({1, 0, 10 * kSecond});
   for (int i = 0; i < 5; ++i) budget.record_query(kStart);
@@ -164,7 +165,7 @@
   EXPECT_EQ(taken, 3 + 20);
 }
 
-TEST(TokenBucket, ACalmGivesBackNoMoreThanTheBurst) {
+TEST(TokenBucket, AfterAPauseItHoldsNoMoreThanTheBurst) {
   TokenBucket bucket({10, 2});
   const auto take_all = [&](TimeUs now) {
     int taken = 0;
@@ -181,21 +182,21 @@
   for (int i = 0; i < 400; ++i) bound.add_answer(1.0, bound.bound());
   EXPECT_EQ(bound.bound(), 100);
   for (int i = 0; i < 400; ++i) bound.add_answer(5.0, bound.bound());
-  const int low = bound.bound();
-  EXPECT_LT(low, 30);
-  EXPECT_GE(low, 4);
+  const int reduced = bound.bound();
+  EXPECT_LT(reduced, 30);
+  EXPECT_GE(reduced, 4);
   for (int i = 0; i < 2'000; ++i) bound.add_answer(1.0, bound.bound());
   EXPECT_GT(bound.bound(), 90);
 }
 
-// Guards against a bound that grows without use, and would let a burst in all at once.
+// Guards against a bound that grows while unused and then admits a whole burst at once.
 TEST(AdaptiveBound, GrowsOnlyWhileItIsUsed) {
   AdaptiveBound bound({100, 4});
   for (int i = 0; i < 400; ++i) bound.add_answer(1.0, bound.bound());
   for (int i = 0; i < 400; ++i) bound.add_answer(5.0, bound.bound());
-  const int low = bound.bound();
+  const int reduced = bound.bound();
   for (int i = 0; i < 400; ++i) bound.add_answer(1.0, 1);
-  EXPECT_LE(bound.bound(), low);
+  EXPECT_LE(bound.bound(), reduced);
 }
 
 TEST(LatencyQuantiles, TellNothingBeforeEnoughIsLearned) {
@@ -208,9 +209,9 @@
   LatencyQuantiles latencies;
   for (int i = 1; i <= 900; ++i) latencies.add(i * kMs);
   for (const double q : {0.5, 0.9, 0.99}) {
-    const auto truth = static_cast<double>(900 * kMs) * q;
-    EXPECT_GE(static_cast<double>(*latencies.at(q)), truth * 0.999) << q;
-    EXPECT_LE(static_cast<double>(*latencies.at(q)), truth * 1.16) << q;
+    const auto exact = static_cast<double>(900 * kMs) * q;
+    EXPECT_GE(static_cast<double>(*latencies.at(q)), exact * 0.999) << q;
+    EXPECT_LE(static_cast<double>(*latencies.at(q)), exact * 1.16) << q;
   }
 }
 
