--- a/src/limits/limiter.cpp
+++ b/src/limits/limiter.cpp
@@ -12,9 +12,8 @@
 constexpr double kQueryTimeWeight = 0.1;
 constexpr TimeUs kMinExpectedTime = 1'000;
 constexpr TimeUs kMinRetryAfter = 1'000;  // the clients' protocol counts in milliseconds
-constexpr std::size_t kMaxStaleIds =
-    64;  // ids in a queue whose queries have left it, beyond those still waiting
-constexpr double kArrivalDecayUs = 2e6;  // time constant of the decay of a route's arrival rate
+constexpr std::size_t kMaxStaleIds = 64;  // ids of queries that have left, on top of twice the waiting ones
+constexpr double kArrivalDecayUs = 2e6;   // time constant of the decay of a route's arrival rate
 
 double decay_factor(TimeUs elapsed) {
   return std::exp(-static_cast<double>(std::max<TimeUs>(elapsed, 0)) / kArrivalDecayUs);
@@ -26,8 +25,7 @@
   for (std::size_t i = 0; i < settings_.classes.size(); ++i) latencies_.emplace_back();
 }
 
-// Latency histograms are kept under any file; a retry budget or bound that the file no longer states is
-// dropped.
+// Latency histograms are kept under any file. Retry budgets and bounds that it no longer states are dropped.
 void Limiter::put_in_force(TimeUs now, std::shared_ptr<const LimitSet> set) {
   std::unordered_map<std::string, std::shared_ptr<RouteState>> kept_states;
   for (const auto& route : set->routes()) {
@@ -237,8 +235,8 @@
   const auto it = queries_.find(id);
   Entry& entry = it->second;
   const auto state = entry.limits->state();
-  const bool longest_hold_ended = entry.limits->route().bounds.longest_hold.has_value();
-  const Reason reason = longest_hold_ended ? Reason::kHeldTooLong : entry.wait_reason;
+  const bool has_longest_hold = entry.limits->route().bounds.longest_hold.has_value();
+  const Reason reason = has_longest_hold ? Reason::kHeldTooLong : entry.wait_reason;
   leave_queue(entry, id);
   schedule_queue_check(now, state);
   const EndedWait ended_wait{id, refuse(*state, reason, estimated_wait(now, *state))};
@@ -304,15 +302,14 @@
   if (it == queries_.end()) return;
   Entry& entry = it->second;
   entry.limits->attempt_ended(now);
-  // A timed out attempt took at least that long: without it, the adaptive bound would not see engines that
-  // hang.
+  // A timed out attempt took at least that long. Without it the adaptive bound would not see hanging engines.
   const bool has_latency = kind == OutcomeKind::kOk || kind == OutcomeKind::kTimeout;
   if (!has_latency) return;
   if (kind == OutcomeKind::kOk) latencies_[static_cast<std::size_t>(entry.class_index)]->add(latency);
   RouteState& state = *entry.limits->state();
   if (!state.adaptive) return;
-  const TimeUs known_expected = std::max(expected, kMinExpectedTime);
-  state.adaptive->add_answer(static_cast<double>(latency) / static_cast<double>(known_expected),
+  const TimeUs bounded_expected = std::max(expected, kMinExpectedTime);
+  state.adaptive->add_answer(static_cast<double>(latency) / static_cast<double>(bounded_expected),
                              state.under_way);
 }
 
--- a/src/limits/limiter.h
+++ b/src/limits/limiter.h
@@ -47,8 +47,7 @@
   // of a route carries over to the route of the same name.
   void put_in_force(TimeUs now, std::shared_ptr<const LimitSet> set);
   const LimitSet* in_force() const { return set_.get(); }  // null: none
-  // Multiplies all rates and concurrency limits by `scale` (above 0, at most 1), as reduced service levels
-  // do.
+  // Multiplies all rates and concurrency limits by `scale`, above 0 to 1. Reduced service levels use it.
   void set_scale(TimeUs now, double scale);
 
   // Sets this controller's share of the limits that the fleet divides.
@@ -64,9 +63,9 @@
   // Why the limits last denied the query another attempt; kNone: they did not.
   Reason forbidden(QueryId id) const;
 
-  // Returns the next query whose wait has ended by now, each of them once; nullopt: no more of them.
+  // Returns the next query whose wait has ended by `now`, each one once; nullopt: there is none left.
   std::optional<EndedWait> next_release(TimeUs now);
-  // When next_release() has to be called next; nullopt: not because of time.
+  // When next_release() has to be called next; nullopt: not at any known time.
   std::optional<TimeUs> next_due() const;
 
   void attempt_sent(TimeUs now, QueryId id);
@@ -77,8 +76,7 @@
 
   std::size_t waiting() const { return waiting_; }              // queued queries
   std::size_t under_limits() const { return queries_.size(); }  // queued or under way
-  // In the order of the file, defaults last; without routes of earlier files, even if they still hold
-  // queries.
+  // In the order of the file, defaults last. Routes of earlier files are left out, even with queries.
   std::vector<std::shared_ptr<const RouteState>> route_states() const;
 
  private:
@@ -114,7 +112,7 @@
   std::unordered_map<std::string, std::shared_ptr<RouteState>> states_;
   std::vector<std::unique_ptr<LatencyQuantiles>> latencies_;  // by class
   std::unordered_map<QueryId, Entry> queries_;
-  std::set<std::pair<TimeUs, QueryId>> wait_expiries_;              // of queued queries
+  std::set<std::pair<TimeUs, QueryId>> wait_expiries_;              // time, query; of queued queries
   std::map<QueueCheck, std::shared_ptr<RouteState>> queue_checks_;  // routes whose queues may move then
   std::size_t waiting_ = 0;
   double scale_ = 1;
--- a/src/limits/pass.h
+++ b/src/limits/pass.h
@@ -1,5 +1,5 @@
-// The limits that one query started with, and its usage of them. The decision module asks
-// it before each attempt. It lives until the query has no attempt left on any engine.
+// The limits that one query started with, and its usage of them. The decision module asks it before each
+// attempt. Kept for as long as the query has an attempt on any engine.
 #pragma once
 
 #include <memory>
--- a/src/limits/route.h
+++ b/src/limits/route.h
@@ -12,7 +12,7 @@
 
 namespace orchidgw::limits {
 
-// A location in the operator file, both counted from 1; 0: not stated in the file.
+// A location in the operator file, line and column counted from 1; 0: stated nowhere.
 struct Place {
   int line = 0;
   int column = 0;
@@ -60,8 +60,8 @@
   When when = When::kNever;
   TimeUs delay = 0;     // of kDelay: time after the first attempt was sent
   double quantile = 0;  // of kQuantile: of the latency of the class's attempts, 0.5 to 0.999
-  TimeUs at_least = 0;  // of kQuantile: lower and upper bound on the delay that the quantile gives
-  TimeUs at_most = 0;   // 0: none
+  TimeUs at_least = 0;  // of kQuantile: lower bound on the delay that the quantile gives
+  TimeUs at_most = 0;   // of kQuantile: upper bound on it; 0: none
 };
 
 // Delay between the end of an attempt and the next one: first x factor^n, at most `most`. A random part of
@@ -95,10 +95,10 @@
   bool adaptive() const { return least > 0; }
 };
 
-// How many queries of a route may start.
+// How many queries of a route are admitted per second.
 struct Rate {
   double per_second = 0;  // 0: every query is refused
-  double burst = 1;       // size of the token bucket, 1 or more
+  double burst = 1;       // size of the token bucket: admitted at once after a pause; 1 or more
   bool fleet = false;     // `scope: fleet`, as in Concurrency
 };
 
@@ -109,8 +109,7 @@
   TimeUs window = 10'000'000;
 };
 
-// The limits of a route; one that is not stated is inherited from the route it is like, else from the
-// defaults.
+// The limits of a route. One that is not stated comes from the route it is like, else from the defaults.
 struct Bounds {
   Maybe<TimeUs> timeout;          // of the whole query, from its acceptance
   Maybe<TimeUs> attempt_timeout;  // of each attempt, from when it is sent
@@ -156,8 +155,8 @@
   std::vector<Route> routes;
 };
 
-inline constexpr const char* kDefaultRoute =
-    "defaults";                               // name of the limits for queries that no route matches
+// Names the limits of queries that no route matches.
+inline constexpr const char* kDefaultRoute = "defaults";
 inline constexpr int kDefaultQueueSize = 64;  // of a route that states no `line`
 
 }  // namespace orchidgw::limits
--- a/src/limits/route_state.h
+++ b/src/limits/route_state.h
@@ -26,12 +26,11 @@
   int max_queue_size = kDefaultQueueSize;
   std::list<QueryId> queue;    // in order of arrival; ids of queries that left are skipped later
   int waiting = 0;             // queries in `queue` that still wait
-  TimeUs next_check_at = 0;    // when the queue is checked next; 0: not because of time
-  double mean_query_time = 0;  // moving average in us that queries are under way; to estimate waits
+  TimeUs next_check_at = 0;    // when the queue is checked next; 0: at no known time
+  double mean_query_time = 0;  // moving average in us of time under way; to estimate waits
   // Totals for operators.
   std::uint64_t admitted = 0, queued = 0, refused = 0;
-  // Arrivals per second, exponentially decayed over a few seconds: the demand that a fleet's shares are asked
-  // by.
+  // Arrivals per second, exponentially decayed over a few seconds. The demand for a share of a fleet's limit.
   double arrival_rate = 0;
   TimeUs last_arrival_at = 0;
 
@@ -42,10 +41,10 @@
   bool has_token(TimeUs now) const { return !bucket || bucket->ready(now); }
 };
 
-// Applies the limits of a route to its state, rates and concurrency multiplied by `scale` (above 0, at most
-// 1; a concurrency limit above zero stays above zero). Counters stay where the route keeps that kind of
-// limit. `fleet`: this controller's share of the limits that the fleet divides; null: no share has come yet,
-// and these limits are zero.
+// Applies the limits of a route to its state, rates and concurrency multiplied by `scale` (above 0 to 1; a
+// limit above zero stays above zero). Counters stay where the route keeps that kind of limit.
+// `fleet`: this controller's share of the limits that the fleet divides; null: it has none yet, and these
+// limits are zero.
 void apply_bounds(RouteState& state, TimeUs now, const Bounds& bounds, double scale,
                   const FleetLimits* fleet);
 
--- a/src/limits/route_table.cpp
+++ b/src/limits/route_table.cpp
@@ -47,7 +47,7 @@
   return static_cast<std::uint64_t>(class_index + 1) << 32 | static_cast<std::uint32_t>(tenant + 1);
 }
 
-// Makes entries of one text into one, and links each to the longest other that it begins with.
+// Merges entries of the same text, and links each entry to the longest other one that is a prefix of it.
 void RouteTable::link_prefixes(Bucket& bucket) {
   std::vector<TableEntry>& all = bucket.tables;
   std::stable_sort(all.begin(), all.end(), [](const auto& a, const auto& b) { return a.text < b.text; });
@@ -66,7 +66,8 @@
     merge(merged.back().prefix, entry.prefix);
   }
   all = std::move(merged);
-  // In this order, what an entry begins with stands before it, on the chain of the one right before it.
+  // The entries are sorted: each prefix of an entry comes before it, and is the entry right before it or one
+  // of that entry's parents.
   for (std::size_t i = 1; i < all.size(); ++i) {
     int at = static_cast<int>(i) - 1;
     while (at != kNone && !all[i].text.starts_with(all[static_cast<std::size_t>(at)].text))
@@ -96,7 +97,8 @@
 
 int RouteTable::find_in(const Bucket& bucket, std::string_view table, bool keyed) {
   const std::vector<TableEntry>& all = bucket.tables;
-  // The last entry that is not behind the table: the table's own, or one on whose chain all its prefixes are.
+  // The last entry that is not greater than the table's name: the table itself, or an entry that has all
+  // prefixes of the table among itself and its parents.
   auto it =
       std::upper_bound(all.begin(), all.end(), table,
                        [](std::string_view text, const TableEntry& entry) { return text < entry.text; });
--- a/src/limits/route_table.h
+++ b/src/limits/route_table.h
@@ -1,7 +1,6 @@
 // Finds the most specific route that matches a query, by a total order: class before tenant before table
 // before key; a full table name before a prefix, a longer prefix before a shorter one. A route that states
-// the class precedes every route that does not, whatever else that one states; likewise for the criteria
-// after it.
+// the class beats every route that does not, whatever else that one states; likewise for the next criteria.
 #pragma once
 
 #include <cstdint>
@@ -19,8 +18,7 @@
   static constexpr int kNone = -1;  // no route matches
 
   RouteTable() = default;
-  // `routes` may name only classes and tenants of these settings, and no two may match the same (see
-  // check.h).
+  // `routes` may name only classes and tenants of these settings; no two may match the same (see check.h).
   RouteTable(const Settings& settings, const std::vector<Route>& routes);
 
   // Returns the index in `routes`, or kNone. Does not allocate; logarithmic in the number of routes.
--- a/src/limits/token_bucket.h
+++ b/src/limits/token_bucket.h
@@ -16,8 +16,7 @@
   void reconfigure(const Rate& rate) { rate_ = rate; }
 
   // Changes rate and burst, but keeps the number of tokens: a larger bucket gains none, a smaller one drops
-  // what does not fit. For a fleet's shares: tokens that another controller's bucket gave up never exist
-  // twice.
+  // the excess. For a fleet's shares: tokens that another controller's bucket gave up never exist twice.
   void change_level(TimeUs now, const Rate& rate) {
     const double missing = static_cast<double>(std::max<TimeUs>(full_at_ - now, 0)) / token_interval_us();
     const double tokens = std::min(rate_.burst - missing, rate.burst);
@@ -25,11 +24,12 @@
     full_at_ = now + static_cast<TimeUs>(std::ceil((rate_.burst - tokens) * token_interval_us()));
   }
 
+  // Removes all tokens.
   void drain(TimeUs now) {
     full_at_ = now + static_cast<TimeUs>(std::ceil(rate_.burst * token_interval_us()));
   }
 
-  // The time of the next token; if it has passed, one is available. Only with a rate above zero.
+  // When the next query may pass at the earliest; `now` or before: at once. Only with a rate above zero.
   TimeUs next_token_at() const {
     return full_at_ - static_cast<TimeUs>((rate_.burst - 1) * token_interval_us());
   }
--- a/tests/limits/limiter_test.cpp
+++ b/tests/limits/limiter_test.cpp
@@ -1,5 +1,4 @@
-// Limiter with a simulated clock: which queries are admitted, queued or refused, and what a reload carries
-// over.
+// Limiter with a simulated clock: which queries are admitted, queued or refused; what a reload carries over.
 #include <set>
 
 #include "deployment.h"
