--- a/src/limits/check.h
+++ b/src/limits/check.h
@@ -9,8 +9,7 @@
 
 namespace orchidgw::limits {
 
-// Returns the faults in the order of the file's lines. `max_routes`: the number of routes that the configured
-// memory allows.
+// Returns the faults in the order of the file's lines. `max_routes`: as many as the configured memory allows.
 std::vector<Fault> check(const Settings& settings, const LimitFile& file, std::size_t max_routes);
 
 // For a controller that belongs to no fleet: appends a fault for each limit with `scope: fleet`.
--- a/src/limits/check_bounds.cpp
+++ b/src/limits/check_bounds.cpp
@@ -110,8 +110,7 @@
       fault(stated_limit, "second_copy.at_least", "longer than second_copy.at_most");
   }
 
-  // A query with an idempotency key that may have run is repeated only within the deduplication window of its
-  // class.
+  // A keyed query that may have run is repeated only within the deduplication window of its class.
   void check_deduplication_window() {
     for (const ClassSettings* c : route_.classes) {
       if (c->effect != Effect::kDeduplicated || !allows_retries()) continue;
--- a/src/limits/latency_quantiles.h
+++ b/src/limits/latency_quantiles.h
@@ -15,8 +15,7 @@
   ~LatencyQuantiles();
 
   void add(TimeUs latency);
-  // Returns the upper edge of the bin that holds the quantile (0 to 1), nullopt while there are too few
-  // answers.
+  // The upper edge of the bin that holds the quantile (0 to 1); nullopt until there are enough answers.
   std::optional<TimeUs> at(double quantile) const;
 
  private:
--- a/src/limits/limit_set.h
+++ b/src/limits/limit_set.h
@@ -20,12 +20,10 @@
 
 class LimitSet {
  public:
-  // `file` must have passed check(); `version` rises with each file. Throws nothing but what allocations
-  // throw.
+  // `file` must have passed check(); `version` rises with each file. Throws only what allocations throw.
   LimitSet(const Settings& settings, const LimitFile& file, int version);
 
-  // Returns the limits that apply to such a query: those of the most specific route that matches, else the
-  // defaults.
+  // The limits of the most specific route that matches such a query; those of the defaults if none does.
   const std::shared_ptr<const RouteLimits>& find(int class_index, std::string_view tenant,
                                                  std::string_view table, bool keyed) const;
 
@@ -40,8 +38,7 @@
   int version_;
 };
 
-// Resolves inheritance: each limit is the route's own, else that of the route it is like (null: none), else
-// the default.
+// Resolves inheritance: the own limits, then those of the route it is like (null: none), then `defaults`.
 Bounds inherited(const Bounds& own, const Bounds* like, const Bounds& defaults);
 
 }  // namespace orchidgw::limits
--- a/src/limits/limiter.h
+++ b/src/limits/limiter.h
@@ -54,8 +54,7 @@
   void set_fleet(TimeUs now, FleetLimits fleet);
   FleetUse fleet_use(TimeUs now) const;  // usage of those limits, by route name
 
-  // Decides about a new query. After kWait its outcome comes from next_release(); after kRefuse nothing of it
-  // is kept.
+  // Decides about a new query. After kWait, next_release() returns its end; after kRefuse nothing is kept.
   Verdict admit(TimeUs now, const Arrival& arrival);
   // The time limit of the whole query: `time_budget` or the route's timeout, whichever is smaller.
   TimeUs time_for(QueryId id, TimeUs time_budget) const;
