--- a/src/limits/route_table.cpp
+++ b/src/limits/route_table.cpp
@@ -4,12 +4,12 @@
 
 namespace orchidgw::limits {
 
-int RouteTable::ByKey::pick(bool keyed) const {
+int RouteTable::RoutesByKey::select(bool keyed) const {
   const int exact = keyed ? given : absent;
   return exact != kNone ? exact : any;
 }
 
-void RouteTable::ByKey::put(KeyMatch key, int route) {
+void RouteTable::RoutesByKey::set(KeyMatch key, int route) {
   (key == KeyMatch::kAny ? any : key == KeyMatch::kGiven ? given : absent) = route;
 }
 
@@ -18,7 +18,7 @@
     classes_[settings.classes[i].name] = static_cast<int>(i);
   for (const Route& route : routes) {
     if (!route.match.tenant) continue;
-    states_tenant_ = true;
+    has_tenant_routes_ = true;
     tenants_.try_emplace(route.match.tenant->value, static_cast<int>(tenants_.size()));
   }
   for (std::size_t i = 0; i < routes.size(); ++i) {
@@ -26,12 +26,12 @@
     Bucket& bucket = bucket_for(routes[i]);
     const int number = static_cast<int>(i);
     if (!match.table) {
-      bucket.any_table.put(match.key_or_any(), number);
+      bucket.any_table.set(match.key_or_any(), number);
       continue;
     }
     TableEntry& entry = bucket.tables.emplace_back();
     entry.text = match.table->value.text;
-    (match.table->value.prefix ? entry.prefix : entry.whole).put(match.key_or_any(), number);
+    (match.table->value.prefix ? entry.prefix : entry.whole).set(match.key_or_any(), number);
   }
   for (auto& [key, bucket] : buckets_) link_prefixes(bucket);
 }
@@ -47,12 +47,12 @@
   return static_cast<std::uint64_t>(class_index + 1) << 32 | static_cast<std::uint32_t>(tenant + 1);
 }
 
-// Makes entries of one text into one, and links each to the longest other that it begins with.
+// Merges entries of the same text, and links each entry to the longest other one that is a prefix of it.
 void RouteTable::link_prefixes(Bucket& bucket) {
   std::vector<TableEntry>& all = bucket.tables;
   std::stable_sort(all.begin(), all.end(), [](const auto& a, const auto& b) { return a.text < b.text; });
   std::vector<TableEntry> merged;
-  const auto take = [](ByKey& to, const ByKey& from) {
+  const auto merge = [](RoutesByKey& to, const RoutesByKey& from) {
     if (from.any != kNone) to.any = from.any;
     if (from.given != kNone) to.given = from.given;
     if (from.absent != kNone) to.absent = from.absent;
@@ -62,11 +62,12 @@
       merged.push_back(std::move(entry));
       continue;
     }
-    take(merged.back().whole, entry.whole);
-    take(merged.back().prefix, entry.prefix);
+    merge(merged.back().whole, entry.whole);
+    merge(merged.back().prefix, entry.prefix);
   }
   all = std::move(merged);
-  // In this order, what an entry begins with stands before it, on the chain of the one right before it.
+  // The entries are sorted: each prefix of an entry comes before it, and is the entry right before it or one
+  // of that entry's parents.
   for (std::size_t i = 1; i < all.size(); ++i) {
     int at = static_cast<int>(i) - 1;
     while (at != kNone && !all[i].text.starts_with(all[static_cast<std::size_t>(at)].text))
@@ -78,7 +79,7 @@
 int RouteTable::find(int class_index, std::string_view tenant, std::string_view table, bool keyed) const {
   if (buckets_.empty()) return kNone;
   int tenant_number = kNone;
-  if (states_tenant_) {
+  if (has_tenant_routes_) {
     if (const auto it = tenants_.find(tenant); it != tenants_.end()) tenant_number = it->second;
   }
   const int classes[2] = {class_index, kNone};
@@ -96,7 +97,8 @@
 
 int RouteTable::find_in(const Bucket& bucket, std::string_view table, bool keyed) {
   const std::vector<TableEntry>& all = bucket.tables;
-  // The last entry that is not behind the table: the table's own, or one on whose chain all its prefixes are.
+  // The last entry that is not greater than the table's name: the table itself, or an entry that has all
+  // prefixes of the table among itself and its parents.
   auto it =
       std::upper_bound(all.begin(), all.end(), table,
                        [](std::string_view text, const TableEntry& entry) { return text < entry.text; });
@@ -104,12 +106,12 @@
   while (at != kNone) {
     const TableEntry& entry = all[static_cast<std::size_t>(at)];
     if (entry.text == table)
-      if (const int route = entry.whole.pick(keyed); route != kNone) return route;
+      if (const int route = entry.whole.select(keyed); route != kNone) return route;
     if (table.starts_with(entry.text))
-      if (const int route = entry.prefix.pick(keyed); route != kNone) return route;
+      if (const int route = entry.prefix.select(keyed); route != kNone) return route;
     at = entry.parent;
   }
-  return bucket.any_table.pick(keyed);
+  return bucket.any_table.select(keyed);
 }
 
 }  // namespace orchidgw::limits
