--- a/src/net/admin_socket.cpp
+++ b/src/net/admin_socket.cpp
@@ -18,27 +18,29 @@
 namespace orchidgw::net {
 namespace {
 
-constexpr std::size_t kConnectionsMost = 4;
-constexpr int kBacklog = 8;
-constexpr TimeUs kSilentMost = 2'000'000;
+constexpr std::size_t kMaxConnections = 4;
+constexpr int kListenBacklog = 8;
+constexpr TimeUs kSilenceTimeout = 2'000'000;
 
-[[noreturn]] void fail(const std::string& path, const char* why) {
+[[noreturn]] void throw_error(const std::string& path, const char* why) {
   throw std::runtime_error(path + ": " + why);
 }
 
-sockaddr_un address_of(const std::string& path) {
-  sockaddr_un at{};
-  at.sun_family = AF_UNIX;
-  if (path.empty() || path.size() >= sizeof at.sun_path) fail(path, "a path of 1 to 107 bytes is wanted");
-  std::memcpy(at.sun_path, path.data(), path.size());
-  return at;
+sockaddr_un socket_address_of(const std::string& path) {
+  sockaddr_un socket_address{};
+  socket_address.sun_family = AF_UNIX;
+  if (path.empty() || path.size() >= sizeof socket_address.sun_path)
+    throw_error(path, "a path of 1 to 107 bytes is wanted");
+  std::memcpy(socket_address.sun_path, path.data(), path.size());
+  return socket_address;
 }
 
 int connect_to(const std::string& path) {
-  const sockaddr_un at = address_of(path);
+  const sockaddr_un socket_address = socket_address_of(path);
   const int fd = ::socket(AF_UNIX, SOCK_STREAM | SOCK_CLOEXEC, 0);
   if (fd < 0) return -1;
-  if (::connect(fd, reinterpret_cast<const sockaddr*>(&at), sizeof at) == 0) return fd;
+  if (::connect(fd, reinterpret_cast<const sockaddr*>(&socket_address), sizeof socket_address) == 0)
+    return fd;
   const int error = errno;
   ::close(fd);
   errno = error;
@@ -46,30 +48,31 @@
 }
 
 // Guards against taking the socket of a program that runs, or a file that is none.
-void remove_dead(const std::string& path) {
+void remove_stale_socket(const std::string& path) {
   struct stat info {};
   if (::lstat(path.c_str(), &info) != 0) return;
-  if (!S_ISSOCK(info.st_mode)) fail(path, "is there, and no socket");
+  if (!S_ISSOCK(info.st_mode)) throw_error(path, "is there, and no socket");
   const int fd = connect_to(path);
   if (fd >= 0) {
     ::close(fd);
-    fail(path, "another process listens there");
+    throw_error(path, "another process listens there");
   }
   const SystemCallError error(SystemCall::kSocket, errno, path);
   if (error.may_pass()) throw error;
   if (errno == ECONNREFUSED) ::unlink(path.c_str());
 }
 
-int listen_on(const std::string& path) {
-  const sockaddr_un at = address_of(path);
-  remove_dead(path);
+int listen_at_path(const std::string& path) {
+  const sockaddr_un socket_address = socket_address_of(path);
+  remove_stale_socket(path);
   const int fd = ::socket(AF_UNIX, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
   if (fd < 0) throw SystemCallError(SystemCall::kSocket, errno, path);
-  const mode_t before = ::umask(0177);  // its owner alone, from the first moment
-  const bool bound = ::bind(fd, reinterpret_cast<const sockaddr*>(&at), sizeof at) == 0;
+  const mode_t previous_mask = ::umask(0177);  // its owner alone, from the first moment
+  const bool bound =
+      ::bind(fd, reinterpret_cast<const sockaddr*>(&socket_address), sizeof socket_address) == 0;
   const int bind_error = errno;
-  ::umask(before);
-  if (bound && ::listen(fd, kBacklog) == 0) return fd;
+  ::umask(previous_mask);
+  if (bound && ::listen(fd, kListenBacklog) == 0) return fd;
   const int listen_error = errno;
   ::close(fd);
   if (!bound) throw SystemCallError(SystemCall::kBind, bind_error, path);
@@ -82,18 +85,18 @@
 class AdminSocket::Connection final : public ChannelHandler {
  public:
   Connection(AdminSocket& owner, int fd)
-      : owner_(owner), channel_(owner.context_.reactor, fd, *this), since_(monotonic_now()) {
+      : owner_(owner), channel_(owner.context_.reactor, fd, *this), accepted_at_(monotonic_now()) {
     channel_.want_read(true);
   }
 
-  bool silent(TimeUs now) const { return now - since_ > kSilentMost; }
+  bool is_silent(TimeUs now) const { return now - accepted_at_ > kSilenceTimeout; }
   void close() { channel_.close(); }
 
   void on_readable() override {
     char bytes[admin::kLineMost];
     const ssize_t n = ::read(channel_.fd(), bytes, sizeof bytes);
     if (n < 0 && (errno == EAGAIN || errno == EINTR)) return;
-    if (n <= 0) return owner_.closed(this);
+    if (n <= 0) return owner_.remove(this);
     line_.append(bytes, static_cast<std::size_t>(n));
     const auto end = line_.find('\n');
     if (end == std::string::npos && line_.size() < admin::kLineMost) return;
@@ -102,16 +105,16 @@
     // A few hundred bytes on a new connection fit its buffer; who would not take them is let go.
     if (::send(channel_.fd(), answer.data(), answer.size(), MSG_NOSIGNAL | MSG_DONTWAIT) < 0)
       owner_.context_.log.write(log::Level::kWarn, "administration: an answer was not taken");
-    owner_.closed(this);
+    owner_.remove(this);
   }
   void on_writable() override {}
-  void on_error() override { owner_.closed(this); }
+  void on_error() override { owner_.remove(this); }
   void on_failure(const char* what) override { owner_.on_failure(what); }
 
  private:
   AdminSocket& owner_;
   Channel channel_;
-  TimeUs since_;
+  TimeUs accepted_at_;
   std::string line_;
 };
 
@@ -119,7 +122,7 @@
     : context_(context),
       path_(path),
       answer_(std::move(answer)),
-      listener_(context.reactor, listen_on(path), *this) {
+      listener_(context.reactor, listen_at_path(path), *this) {
   listener_.want_read(true);
 }
 
@@ -129,7 +132,7 @@
   while (true) {
     const int fd = ::accept4(listener_.fd(), nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC);
     if (fd < 0) return;
-    if (connections_.size() >= kConnectionsMost) {
+    if (connections_.size() >= kMaxConnections) {
       ::close(fd);
       continue;
     }
@@ -139,10 +142,10 @@
 
 void AdminSocket::check(TimeUs now) {
   for (std::size_t i = connections_.size(); i-- > 0;)
-    if (connections_[i]->silent(now)) closed(connections_[i].get());
+    if (connections_[i]->is_silent(now)) remove(connections_[i].get());
 }
 
-void AdminSocket::closed(Connection* connection) {
+void AdminSocket::remove(Connection* connection) {
   const auto it = std::find_if(connections_.begin(), connections_.end(),
                                [&](const auto& c) { return c.get() == connection; });
   if (it == connections_.end()) return;
@@ -157,9 +160,9 @@
 
 std::string ask_admin(const std::string& path, const std::string& line) {
   const int fd = connect_to(path);
-  if (fd < 0) fail(path, std::strerror(errno));
-  const timeval most{5, 0};
-  ::setsockopt(fd, SOL_SOCKET, SO_RCVTIMEO, &most, sizeof most);
+  if (fd < 0) throw_error(path, std::strerror(errno));
+  const timeval timeout{5, 0};
+  ::setsockopt(fd, SOL_SOCKET, SO_RCVTIMEO, &timeout, sizeof timeout);
   std::string answer;
   if (::send(fd, line.data(), line.size(), MSG_NOSIGNAL) == static_cast<ssize_t>(line.size())) {
     char bytes[4096];
@@ -167,7 +170,7 @@
       answer.append(bytes, static_cast<std::size_t>(n));
   }
   ::close(fd);
-  if (answer.empty()) fail(path, "no answer came");
+  if (answer.empty()) throw_error(path, "no answer came");
   return answer;
 }
 
--- a/src/net/admin_socket.h
+++ b/src/net/admin_socket.h
@@ -29,7 +29,7 @@
 
  private:
   class Connection;
-  void closed(Connection* connection);
+  void remove(Connection* connection);
 
   Context& context_;
   std::string path_;
--- a/src/net/attention.h
+++ b/src/net/attention.h
@@ -10,33 +10,33 @@
 
 class Attention {
  public:
-  // A turn begins at `now`. What passed since the loop was to be back, but for `kSlack`, is lost. True if the
-  // turn is to be left to the one after it, which comes once the sockets were read: never twice in a row,
+  // A turn begins at `now`. What passed since the loop was to be back, but for `kTolerance`, is lost. True if
+  // the turn is to be left to the one after it, which comes once the sockets were read: never twice in a row,
   // lest a process that is always late does nothing but read.
   bool turn_begins(TimeUs now) {
-    const TimeUs late = back_by_ > 0 ? std::max<TimeUs>(now - back_by_ - kSlack, 0) : 0;
-    lost_ += late;
-    late_ = late;
-    back_by_ = now;
-    reads_first_ = late > 0 && !reads_first_;
-    return reads_first_;
+    const TimeUs late = expected_turn_at_ > 0 ? std::max<TimeUs>(now - expected_turn_at_ - kTolerance, 0) : 0;
+    stalled_time_ += late;
+    turn_lateness_ = late;
+    expected_turn_at_ = now;
+    left_out_last_turn_ = late > 0 && !left_out_last_turn_;
+    return left_out_last_turn_;
   }
 
   // The turn is over; the loop waits at most so long (us).
-  void loop_waits(TimeUs wait) { back_by_ += wait; }
+  void loop_waits(TimeUs wait) { expected_turn_at_ += wait; }
 
   // In us: by so much the turn that began last was late.
-  TimeUs late() const { return late_; }
+  TimeUs late() const { return turn_lateness_; }
 
   // In us, all in all. A limit of time that is counted without it lays nothing of that on the other side.
-  TimeUs lost() const { return lost_; }
+  TimeUs lost() const { return stalled_time_; }
 
  private:
-  static constexpr TimeUs kSlack = 20'000;  // what turns take and timers are late by without a stall
-  TimeUs back_by_ = 0;                      // 0: no turn yet
-  TimeUs lost_ = 0;
-  TimeUs late_ = 0;
-  bool reads_first_ = false;  // the last turn was left out
+  static constexpr TimeUs kTolerance = 20'000;  // what turns take and timers are late by without a stall
+  TimeUs expected_turn_at_ = 0;                 // 0: no turn yet
+  TimeUs stalled_time_ = 0;
+  TimeUs turn_lateness_ = 0;
+  bool left_out_last_turn_ = false;  // the last turn was left out
 };
 
 }  // namespace orchidgw::net
--- a/src/net/buffer_pool.cpp
+++ b/src/net/buffer_pool.cpp
@@ -6,7 +6,7 @@
 
 namespace orchidgw::net {
 
-std::unique_ptr<Block> BufferPool::take() {
+std::unique_ptr<Block> BufferPool::acquire() {
   ++in_use_;
   counters_.buffers.set(in_use_);
   if (free_.empty()) return std::make_unique<Block>();
@@ -15,12 +15,12 @@
   return block;
 }
 
-void BufferPool::give_back(std::unique_ptr<Block> block) {
+void BufferPool::release(std::unique_ptr<Block> block) {
   --in_use_;
   counters_.buffers.set(in_use_);
   free_.push_back(std::move(block));
   // Guards against a peak that is kept for good.
-  while (free_.size() > in_use_ + kFreeKept) free_.pop_back();
+  while (free_.size() > in_use_ + kMaxSpareBuffers) free_.pop_back();
 }
 
 BufferChain::BufferChain(BufferChain&& other) noexcept
@@ -43,7 +43,7 @@
     const std::span<char> free = room();
     const std::size_t n = std::min(free.size(), bytes.size());
     std::memcpy(free.data(), bytes.data(), n);
-    filled(n);
+    commit(n);
     bytes.remove_prefix(n);
   }
 }
@@ -56,38 +56,38 @@
 }
 
 std::span<char> BufferChain::room() {
-  if (links_.empty() || links_.back().to == kBufferBytes) links_.emplace_back().block = pool_->take();
+  if (links_.empty() || links_.back().end == kBufferBytes) links_.emplace_back().block = pool_->acquire();
   Link& last = links_.back();
-  return {last.block->data() + last.to, kBufferBytes - last.to};
+  return {last.block->data() + last.end, kBufferBytes - last.end};
 }
 
-void BufferChain::filled(std::size_t bytes) {
-  links_.back().to += bytes;
+void BufferChain::commit(std::size_t bytes) {
+  links_.back().end += bytes;
   size_ += bytes;
 }
 
 std::string_view BufferChain::front() const {
   for (const Link& link : links_) {
-    if (link.to > link.from) return {link.block->data() + link.from, link.to - link.from};
+    if (link.end > link.begin) return {link.block->data() + link.begin, link.end - link.begin};
   }
   return {};
 }
 
-void BufferChain::drop(std::size_t bytes) {
+void BufferChain::consume(std::size_t bytes) {
   size_ -= std::min(bytes, size_);
   while (!links_.empty()) {
     Link& first = links_.front();
-    const std::size_t n = std::min(bytes, first.to - first.from);
-    first.from += n;
+    const std::size_t n = std::min(bytes, first.end - first.begin);
+    first.begin += n;
     bytes -= n;
-    if (first.from < first.to) return;
-    pool_->give_back(std::move(first.block));
+    if (first.begin < first.end) return;
+    pool_->release(std::move(first.block));
     links_.pop_front();
   }
 }
 
 void BufferChain::clear() {
-  for (Link& link : links_) pool_->give_back(std::move(link.block));
+  for (Link& link : links_) pool_->release(std::move(link.block));
   links_.clear();
   size_ = 0;
 }
@@ -95,7 +95,7 @@
 std::string BufferChain::text() const {
   std::string out;
   out.reserve(size_);
-  for (const Link& link : links_) out.append(link.block->data() + link.from, link.to - link.from);
+  for (const Link& link : links_) out.append(link.block->data() + link.begin, link.end - link.begin);
   return out;
 }
 
--- a/src/net/buffer_pool.h
+++ b/src/net/buffer_pool.h
@@ -18,28 +18,29 @@
 
 inline constexpr std::size_t kBufferBytes = 8192;  // a page of 6,000 bytes with its headers fits
 
-inline constexpr std::size_t kFreeKept = 16;  // free buffers kept beyond as many as are in use
+inline constexpr std::size_t kMaxSpareBuffers = 16;  // free buffers kept beyond as many as are in use
 
 using Block = std::array<char, kBufferBytes>;
 
 class BufferPool {
  public:
-  BufferPool(std::size_t most, metrics::Counters& counters) : most_(most), counters_(counters) {}
+  BufferPool(std::size_t max_buffers, metrics::Counters& counters)
+      : max_buffers_(max_buffers), counters_(counters) {}
 
   // Always gives a block: what is begun can be finished. Whoever reads or accepts asks `low` before.
-  std::unique_ptr<Block> take();
-  void give_back(std::unique_ptr<Block> block);
+  std::unique_ptr<Block> acquire();
+  void release(std::unique_ptr<Block> block);
 
   // Too few are left to begin anything new: stop reading and accepting.
-  bool low() const { return in_use_ + reserve() >= most_; }
+  bool low() const { return in_use_ + reserve() >= max_buffers_; }
   // What was begun has taken half as much again: whoever holds most of it has to go.
-  bool overdrawn() const { return in_use_ > most_ + most_ / 2; }
+  bool over_limit() const { return in_use_ > max_buffers_ + max_buffers_ / 2; }
   std::size_t in_use() const { return in_use_; }
-  std::size_t kept_free() const { return free_.size(); }
+  std::size_t free_count() const { return free_.size(); }
 
  private:
-  std::size_t reserve() const { return most_ / 8; }
-  std::size_t most_;
+  std::size_t reserve() const { return max_buffers_ / 8; }
+  std::size_t max_buffers_;
   std::size_t in_use_ = 0;
   std::vector<std::unique_ptr<Block>> free_;
   metrics::Counters& counters_;
@@ -61,18 +62,18 @@
   void append(std::string_view bytes);
   void append(BufferChain&& other);  // takes the other's buffers over
   std::span<char> room();            // free space at the end, never empty
-  void filled(std::size_t bytes);    // so much of it was written
+  void commit(std::size_t bytes);    // so much of it was written
 
-  std::string_view front() const;  // the first stretch; empty if the chain is
-  void drop(std::size_t bytes);    // from the front
+  std::string_view front() const;   // the first stretch; empty if the chain is
+  void consume(std::size_t bytes);  // from the front
   void clear();
   std::string text() const;  // a copy of all
 
  private:
   struct Link {
     std::unique_ptr<Block> block;
-    std::size_t from = 0;
-    std::size_t to = 0;
+    std::size_t begin = 0;
+    std::size_t end = 0;
   };
   BufferPool* pool_;
   std::deque<Link> links_;
--- a/src/net/channel.cpp
+++ b/src/net/channel.cpp
@@ -23,11 +23,11 @@
 }
 
 template <typename Notification>
-void Channel::want(bool on, bool& wanted, void (Channel::*callback)(Notification*)) {
-  if (on == wanted || !is_open()) return;
-  wanted = on;
+void Channel::set_interest(bool enabled, bool& current, void (Channel::*callback)(Notification*)) {
+  if (enabled == current || !is_open()) return;
+  current = enabled;
   const Observer<Channel, Notification> observer(*this, callback);
-  if (on) {
+  if (enabled) {
     reactor_.addEventHandler(socket_, observer);
   } else {
     reactor_.removeEventHandler(socket_, observer);
@@ -35,9 +35,9 @@
   }
 }
 
-void Channel::want_read(bool on) { want(on, reading_, &Channel::onReadable); }
+void Channel::want_read(bool enabled) { set_interest(enabled, reading_, &Channel::onReadable); }
 
-void Channel::want_write(bool on) { want(on, writing_, &Channel::onWritable); }
+void Channel::want_write(bool enabled) { set_interest(enabled, writing_, &Channel::onWritable); }
 
 // Guards against a loop that spins: POCO 1.11 takes an observer out but leaves its event in the poll (seen in
 // a trace: a connection that had come up stayed registered for writing). Adding a handler again sets the
@@ -57,7 +57,7 @@
 
 // No exception may cross a callback of the reactor: it would end the turn for all other sockets.
 template <typename Work>
-void Channel::guarded(Work work) {
+void Channel::run_guarded(Work work) {
   if (!is_open()) return;
   try {
     work();
@@ -68,17 +68,17 @@
 
 void Channel::onReadable(ReadableNotification* notification) {
   const Poco::AutoPtr<ReadableNotification> released(notification);
-  guarded([this] { handler_.on_readable(); });
+  run_guarded([this] { handler_.on_readable(); });
 }
 
 void Channel::onWritable(WritableNotification* notification) {
   const Poco::AutoPtr<WritableNotification> released(notification);
-  guarded([this] { handler_.on_writable(); });
+  run_guarded([this] { handler_.on_writable(); });
 }
 
 void Channel::onError(ErrorNotification* notification) {
   const Poco::AutoPtr<ErrorNotification> released(notification);
-  guarded([this] { handler_.on_error(); });
+  run_guarded([this] { handler_.on_error(); });
 }
 
 }  // namespace orchidgw::net
--- a/src/net/channel.h
+++ b/src/net/channel.h
@@ -26,8 +26,8 @@
 
   int fd() const { return fd_; }
   bool is_open() const { return fd_ >= 0; }
-  void want_read(bool on);
-  void want_write(bool on);  // only while bytes wait: a socket can nearly always be written
+  void want_read(bool enabled);
+  void want_write(bool enabled);  // only while bytes wait: a socket can nearly always be written
   void close();
 
  private:
@@ -35,10 +35,10 @@
   void onWritable(Poco::Net::WritableNotification* notification);
   void onError(Poco::Net::ErrorNotification* notification);
   template <typename Notification>
-  void want(bool on, bool& wanted, void (Channel::*callback)(Notification*));
+  void set_interest(bool enabled, bool& current, void (Channel::*callback)(Notification*));
   void renew_interest();
   template <typename Work>
-  void guarded(Work work);
+  void run_guarded(Work work);
 
   Reactor& reactor_;
   ChannelHandler& handler_;
--- a/src/net/event_queue.h
+++ b/src/net/event_queue.h
@@ -25,15 +25,15 @@
   std::size_t statement_bytes() const { return statement_bytes_; }  // of the requests in line
 
  private:
-  using Line = std::deque<PostedEvent>;
-  void forget_requests(const core::Event& departure);
-  Line& line_of(const core::Event& event);
-  static std::optional<PostedEvent> first_of(Line& line);
-
-  Line list_changes_;
-  Line outcomes_;
-  Line departures_;
-  Line requests_;
+  using Queue = std::deque<PostedEvent>;
+  void remove_requests(const core::Event& cancellation);
+  Queue& queue_for(const core::Event& event);
+  static std::optional<PostedEvent> pop_front_of(Queue& queue);
+
+  Queue list_changes_;
+  Queue outcomes_;
+  Queue cancellations_;
+  Queue requests_;
   std::size_t statement_bytes_ = 0;
 };
 
--- a/src/net/front_door.cpp
+++ b/src/net/front_door.cpp
@@ -10,11 +10,12 @@
 namespace orchidgw::net {
 namespace {
 
-constexpr TimeUs kSweepEvery = 100'000;
-constexpr TimeUs kShutdownSweepEvery = 10'000;
-constexpr TimeUs kLookEvery = 20'000;     // for paused clients that left: an attempt after it is soon a break
-constexpr TimeUs kLingerFor = 1'000'000;  // a client that was told of the end ends its side meanwhile
-constexpr std::size_t kLingerBesides = 16;  // descriptors: so many beside those of the clients' part
+constexpr TimeUs kSweepInterval = 100'000;
+constexpr TimeUs kShutdownSweepInterval = 10'000;
+constexpr TimeUs kDisconnectCheckInterval =
+    20'000;  // for paused clients that left: an attempt after it is soon a break
+constexpr TimeUs kLingerTimeout = 1'000'000;    // a client that was told of the end ends its side meanwhile
+constexpr std::size_t kMaxExtraLingering = 16;  // descriptors: so many beside those of the clients' part
 
 }  // namespace
 
@@ -31,36 +32,43 @@
 
 bool FrontDoor::accept_all() {
   while (true) {
-    if (context_.crowded() || (clients_.size() >= limits_.clients && !make_room())) return no_room();
+    if (context_.crowded() || (clients_.size() >= limits_.clients && !evict_idle_client()))
+      return pause_at_capacity();
     const Accepted accepted = accept_one(listener_.fd());
-    if (accepted.kind == Accepted::Kind::kNoRoom) return no_room();
-    if (accepted.kind == Accepted::Kind::kNobodyWaits) return true;
+    if (accepted.kind == Accepted::Kind::kNoResources) return pause_at_capacity();
+    if (accepted.kind == Accepted::Kind::kNonePending) return true;
     ++context_.counters.accepted;
     context_.counters.clients.up();
     const core::ClientId id = ++last_id_;
-    const auto ended = [this](core::ClientId client, core::ConnectionEnd end) { closed(client, end); };
+    const auto ended = [this](core::ClientId client, core::ConnectionEnd end) {
+      on_client_closed(client, end);
+    };
     const auto ready = [this] { return reducer_.ready(); };
     clients_[id] = std::make_shared<ClientConnection>(context_, id, accepted.fd, totals_, ready, ended);
   }
 }
 
-bool FrontDoor::no_room() {
+bool FrontDoor::pause_at_capacity() {
   pause_accepting();
   return false;
 }
 
 // Guards against silent connections by the hundred: with all places taken, a newcomer gets the place of one
 // that never spoke, else of the one idle for longest. Nobody with an open request is put out.
-bool FrontDoor::make_room() {
+bool FrontDoor::evict_idle_client() {
   const TimeUs now = monotonic_now();
-  std::shared_ptr<ClientConnection> least;
+  std::shared_ptr<ClientConnection> candidate;
   for (const auto& [id, client] : clients_) {
-    if (!client->settled(now) || (client->spoke() && !client->idle()) || has_open_requests(id)) continue;
-    const auto rank = [](const ClientConnection& c) { return std::pair(c.spoke(), c.quiet_since()); };
-    if (!least || rank(*client) < rank(*least)) least = client;
+    if (!client->has_nothing_in_transit(now) || (client->has_sent_message() && !client->idle()) ||
+        has_open_requests(id))
+      continue;
+    const auto rank = [](const ClientConnection& c) {
+      return std::pair(c.has_sent_message(), c.last_activity_at());
+    };
+    if (!candidate || rank(*client) < rank(*candidate)) candidate = client;
   }
   // What it said in this moment is read: then it keeps its place, and who comes waits for the next look.
-  if (least && least->still_quiet()) least->close(core::ConnectionEnd::kMadeRoom);
+  if (candidate && candidate->confirm_quiet()) candidate->close(core::ConnectionEnd::kMadeRoom);
   return clients_.size() < limits_.clients;
 }
 
@@ -73,77 +81,78 @@
   listener_.want_read(false);
 }
 
-void FrontDoor::go_on_accepting() {
+void FrontDoor::resume_accepting() {
   if (!paused_ || shutdown_ || context_.crowded()) return;
   paused_ = false;
   listener_.want_read(true);
 }
 
-void FrontDoor::closed(core::ClientId id, core::ConnectionEnd end) {
+void FrontDoor::on_client_closed(core::ClientId id, core::ConnectionEnd end) {
   ++context_.counters.client_ends[static_cast<std::size_t>(end)];
   context_.counters.clients.down();
   const auto it = clients_.find(id);
   if (it == clients_.end()) return;
   if (it->second->lingers()) {
-    lingering_.push_back({it->second, monotonic_now() + kLingerFor});
+    lingering_.push_back({it->second, monotonic_now() + kLingerTimeout});
   } else {
     context_.closed.push_back(it->second);
   }
   clients_.erase(it);
   // Guards against running out of descriptors: the oldest goes without having ended its side.
-  if (clients_.size() + lingering_.size() > limits_.clients + kLingerBesides) end_oldest_lingering();
+  if (clients_.size() + lingering_.size() > limits_.clients + kMaxExtraLingering) end_oldest_lingering();
   context_.post(core::ClientClosed{id});
-  go_on_accepting();
+  resume_accepting();
 }
 
 // Guards against clients that ask for much and read nothing: answers that they leave lying may take all
 // memory. A client with a request open is spared until that has its answer, by its deadline at the latest: a
 // close would leave the request without one. What memory takes meanwhile is bounded by the open requests, as
 // nothing new is taken on while it is short.
-void FrontDoor::shed_unread() {
-  if (!context_.pool.overdrawn()) return;
-  const auto all = clients_;  // some close themselves meanwhile
-  for (const auto& [id, client] : all)
-    if (client->unsent() > 0) client->refuse_held();
-  while (context_.pool.overdrawn()) {
-    const std::shared_ptr<ClientConnection> client = most_unread_of_those_answered();
+void FrontDoor::reclaim_unread_answers() {
+  if (!context_.pool.over_limit()) return;
+  const auto snapshot = clients_;  // some close themselves meanwhile
+  for (const auto& [id, client] : snapshot)
+    if (client->unsent_bytes() > 0) client->refuse_held_calls();
+  while (context_.pool.over_limit()) {
+    const std::shared_ptr<ClientConnection> client = find_answered_client_with_most_unsent();
     if (!client) return;
     context_.log.write(log::Level::kWarn, "memory is short: a client that reads nothing is closed");
     client->close(core::ConnectionEnd::kSilent);
   }
 }
 
-std::shared_ptr<ClientConnection> FrontDoor::most_unread_of_those_answered() const {
-  std::shared_ptr<ClientConnection> most;
+std::shared_ptr<ClientConnection> FrontDoor::find_answered_client_with_most_unsent() const {
+  std::shared_ptr<ClientConnection> largest;
   for (const auto& [id, client] : clients_) {
-    if (client->unsent() == 0 || client->owed() > 0) continue;
-    if (!most || client->unsent() > most->unsent()) most = client;
+    if (client->unsent_bytes() == 0 || client->unanswered_requests() > 0) continue;
+    if (!largest || client->unsent_bytes() > largest->unsent_bytes()) largest = client;
   }
-  return most;
+  return largest;
 }
 
 void FrontDoor::between_turns(TimeUs now) {
-  shed_unread();
+  reclaim_unread_answers();
   end_lingering(now);
-  look_for_gone(now);
-  if (now - swept_at_ < sweep_every()) return;
-  swept_at_ = now;
+  close_disconnected_clients(now);
+  if (now - last_sweep_at_ < sweep_interval()) return;
+  last_sweep_at_ = now;
   sweep(now);
-  go_on_accepting();
+  resume_accepting();
 }
 
 TimeUs FrontDoor::next_sweep() const {
-  const TimeUs sweep = swept_at_ + sweep_every();
-  return totals_.paused > 0 ? std::min(sweep, looked_at_ + kLookEvery) : sweep;
+  const TimeUs sweep = last_sweep_at_ + sweep_interval();
+  return totals_.paused_clients > 0 ? std::min(sweep, last_disconnect_check_at_ + kDisconnectCheckInterval)
+                                    : sweep;
 }
 
 // Guards against attempts for clients that left while they were not read, for memory or for unsent answers:
 // nothing tells of a close that lies behind what is unread.
-void FrontDoor::look_for_gone(TimeUs now) {
-  if (totals_.paused == 0 || now - looked_at_ < kLookEvery) return;
-  looked_at_ = now;
-  const auto all = clients_;  // some close themselves meanwhile
-  for (const auto& [id, client] : all) client->look_if_gone();
+void FrontDoor::close_disconnected_clients(TimeUs now) {
+  if (totals_.paused_clients == 0 || now - last_disconnect_check_at_ < kDisconnectCheckInterval) return;
+  last_disconnect_check_at_ = now;
+  const auto snapshot = clients_;  // some close themselves meanwhile
+  for (const auto& [id, client] : snapshot) client->close_if_peer_disconnected();
 }
 
 void FrontDoor::end_lingering(TimeUs now) {
@@ -158,9 +167,9 @@
 }
 
 void FrontDoor::sweep(TimeUs now) {
-  const auto all = clients_;  // some close themselves meanwhile
-  for (const auto& [id, client] : all) {
-    if (client->paused()) client->read_on();
+  const auto snapshot = clients_;  // some close themselves meanwhile
+  for (const auto& [id, client] : snapshot) {
+    if (client->paused()) client->resume_reading();
     client->sweep(now, has_open_requests(id));
     if (shutdown_) client->shut_down(now, now >= shutdown_->answer_by);
   }
@@ -172,11 +181,11 @@
   totals_.shutting_down = true;
 }
 
-TimeUs FrontDoor::sweep_every() const { return shutdown_ ? kShutdownSweepEvery : kSweepEvery; }
+TimeUs FrontDoor::sweep_interval() const { return shutdown_ ? kShutdownSweepInterval : kSweepInterval; }
 
 // Guards against a stop that throws away who waits to be accepted: the system counts these as connected.
-bool FrontDoor::stop_listening(bool give_up) {
-  if (!accept_all() && !give_up) return false;
+bool FrontDoor::stop_listening(bool force) {
+  if (!accept_all() && !force) return false;
   listener_.close();
   return true;
 }
--- a/src/net/front_door.h
+++ b/src/net/front_door.h
@@ -34,9 +34,9 @@
   TimeUs next_sweep() const;
   // From here on clients are closed by that schedule.
   void begin_shutdown(const ShutdownSchedule& schedule);
-  // Who waits to be accepted is let in before; false while there is no room for all of them, and `give_up` is
+  // Who waits to be accepted is let in before; false while there is no room for all of them, and `force` is
   // not said.
-  bool stop_listening(bool give_up);
+  bool stop_listening(bool force);
   bool empty() const { return clients_.empty() && lingering_.empty(); }
   std::size_t lingering() const { return lingering_.size(); }
   void close_all();
@@ -47,20 +47,20 @@
   void on_failure(const char* what) override;
 
  private:
-  void closed(core::ClientId id, core::ConnectionEnd end);
+  void on_client_closed(core::ClientId id, core::ConnectionEnd end);
   bool accept_all();  // false: some may still wait, there is no room for them
-  bool make_room();
-  bool no_room();
-  void look_for_gone(TimeUs now);
+  bool evict_idle_client();
+  bool pause_at_capacity();
+  void close_disconnected_clients(TimeUs now);
   void end_lingering(TimeUs now);
   void end_oldest_lingering();
   bool has_open_requests(core::ClientId id) const { return reducer_.open_requests_of(id) > 0; }
   void pause_accepting();
-  void go_on_accepting();
-  void shed_unread();
-  std::shared_ptr<ClientConnection> most_unread_of_those_answered() const;
+  void resume_accepting();
+  void reclaim_unread_answers();
+  std::shared_ptr<ClientConnection> find_answered_client_with_most_unsent() const;
   void sweep(TimeUs now);
-  TimeUs sweep_every() const;
+  TimeUs sweep_interval() const;
 
   Context& context_;
   Channel listener_;
@@ -74,8 +74,8 @@
   };
   std::deque<Lingering> lingering_;  // the oldest first
   core::ClientId last_id_ = 0;
-  TimeUs swept_at_ = 0;
-  TimeUs looked_at_ = 0;
+  TimeUs last_sweep_at_ = 0;
+  TimeUs last_disconnect_check_at_ = 0;
   bool paused_ = false;
   std::optional<ShutdownSchedule> shutdown_;
 };
--- a/src/net/loop_ticker.cpp
+++ b/src/net/loop_ticker.cpp
@@ -16,10 +16,10 @@
 int open_timer() {
   const int fd = timerfd_create(CLOCK_MONOTONIC, TFD_NONBLOCK | TFD_CLOEXEC);
   if (fd < 0) return -1;
-  itimerspec pace{};
-  pace.it_value.tv_nsec = kPeriodNs;
-  pace.it_interval.tv_nsec = kPeriodNs;
-  if (timerfd_settime(fd, 0, &pace, nullptr) == 0) return fd;
+  itimerspec timer{};
+  timer.it_value.tv_nsec = kPeriodNs;
+  timer.it_interval.tv_nsec = kPeriodNs;
+  if (timerfd_settime(fd, 0, &timer, nullptr) == 0) return fd;
   const int error = errno;
   ::close(fd);
   errno = error;
--- a/src/net/reactor.cpp
+++ b/src/net/reactor.cpp
@@ -9,10 +9,10 @@
 
 // The poll counts whole milliseconds and cuts off the rest: rounded up here, lest it spin through the last
 // one.
-void Reactor::take_turn() {
+void Reactor::run_turn() {
   const TimeUs wait = turn_();
-  const TimeUs whole = (wait + kUsPerMs - 1) / kUsPerMs * kUsPerMs;
-  setTimeout(Poco::Timespan(whole));
+  const TimeUs rounded = (wait + kUsPerMs - 1) / kUsPerMs * kUsPerMs;
+  setTimeout(Poco::Timespan(rounded));
 }
 
 }  // namespace orchidgw::net
--- a/src/net/reactor.h
+++ b/src/net/reactor.h
@@ -19,13 +19,13 @@
   void hurry() { setTimeout(Poco::Timespan(0)); }
 
  protected:
-  void onBusy() override { take_turn(); }
+  void onBusy() override { run_turn(); }
   // The base class would call every handler here, whether it wants to hear of it or not.
-  void onTimeout() override { take_turn(); }
-  void onIdle() override { take_turn(); }
+  void onTimeout() override { run_turn(); }
+  void onIdle() override { run_turn(); }
 
  private:
-  void take_turn();
+  void run_turn();
   std::function<TimeUs()> turn_;
 };
 
--- a/src/net/signals.cpp
+++ b/src/net/signals.cpp
@@ -12,7 +12,7 @@
 namespace orchidgw::net {
 namespace {
 
-sigset_t all_read() {
+sigset_t handled_signals() {
   sigset_t set;
   sigemptyset(&set);
   sigaddset(&set, SIGTERM);
@@ -22,9 +22,9 @@
   return set;
 }
 
-int open_signals() {
+int open_signal_descriptor() {
   hold_signals();
-  const sigset_t set = all_read();
+  const sigset_t set = handled_signals();
   const int fd = signalfd(-1, &set, SFD_NONBLOCK | SFD_CLOEXEC);
   if (fd < 0) throw SystemCallError(SystemCall::kSignalDescriptor, errno, "start");
   return fd;
@@ -34,12 +34,12 @@
 
 void hold_signals() {
   ::signal(SIGPIPE, SIG_IGN);
-  const sigset_t set = all_read();
+  const sigset_t set = handled_signals();
   sigprocmask(SIG_BLOCK, &set, nullptr);
 }
 
 Signals::Signals(Reactor& reactor, std::function<void(int)> on_signal)
-    : on_signal_(std::move(on_signal)), channel_(reactor, open_signals(), *this) {
+    : on_signal_(std::move(on_signal)), channel_(reactor, open_signal_descriptor(), *this) {
   channel_.want_read(true);
 }
 
--- a/src/net/sockets.cpp
+++ b/src/net/sockets.cpp
@@ -17,7 +17,7 @@
 
 using core::ConnectionEnd;
 
-constexpr int kBacklog = 512;
+constexpr int kListenBacklog = 512;
 
 sockaddr_in system_address(const core::Address& address) {
   sockaddr_in out{};
@@ -27,12 +27,12 @@
   return out;
 }
 
-void set_option(int fd, int level, int option) {
+void enable_option(int fd, int level, int option) {
   const int on = 1;
   setsockopt(fd, level, option, &on, sizeof on);
 }
 
-ConnectionEnd end_of_connect(int error) {
+ConnectionEnd connection_end_for(int error) {
   switch (error) {
     case ECONNREFUSED:
       return ConnectionEnd::kRefused;
@@ -53,11 +53,11 @@
   }
 }
 
-std::string name_of_listener(const core::Address& address) {
+std::string describe_listener(const core::Address& address) {
   return "listen: " + address.host + ":" + std::to_string(address.port);
 }
 
-Moved moved(ssize_t n) {
+Moved to_io_result(ssize_t n) {
   if (n > 0) return {Moved::Kind::kBytes, static_cast<std::size_t>(n)};
   if (n == 0) return {Moved::Kind::kClosed, 0};
   if (errno == EAGAIN || errno == EWOULDBLOCK) return {Moved::Kind::kLater, 0};
@@ -66,57 +66,57 @@
 
 }  // namespace
 
-Moved read_some(int fd, std::span<char> into) {
+Moved read_some(int fd, std::span<char> buffer) {
   ssize_t n = 0;
   do {
-    n = ::recv(fd, into.data(), into.size(), 0);
+    n = ::recv(fd, buffer.data(), buffer.size(), 0);
   } while (n < 0 && errno == EINTR);
-  return moved(n);
+  return to_io_result(n);
 }
 
-bool has_left(int fd) {
-  pollfd asked{fd, POLLRDHUP, 0};
-  return ::poll(&asked, 1, 0) > 0 && (asked.revents & (POLLRDHUP | POLLHUP | POLLERR)) != 0;
+bool peer_has_closed(int fd) {
+  pollfd poll_request{fd, POLLRDHUP, 0};
+  return ::poll(&poll_request, 1, 0) > 0 && (poll_request.revents & (POLLRDHUP | POLLHUP | POLLERR)) != 0;
 }
 
-bool end_writing(int fd) { return ::shutdown(fd, SHUT_WR) == 0; }
+bool shut_down_writing(int fd) { return ::shutdown(fd, SHUT_WR) == 0; }
 
 // Guards against a client that reads the last answer and writes again before the end of the connection
 // reaches it: held back until the end of writing, both go in one segment.
-Moved write_some(int fd, std::string_view bytes, WriteEnd end) {
-  const int flags = MSG_NOSIGNAL | (end == WriteEnd::kIsLast ? MSG_MORE : 0);
+Moved write_some(int fd, std::string_view bytes, WritePosition end) {
+  const int flags = MSG_NOSIGNAL | (end == WritePosition::kLast ? MSG_MORE : 0);
   ssize_t n = 0;
   do {
     n = ::send(fd, bytes.data(), bytes.size(), flags);
   } while (n < 0 && errno == EINTR);
   if (n == 0) return {Moved::Kind::kLater, 0};
-  return moved(n);
+  return to_io_result(n);
 }
 
-bool write_chain(int fd, BufferChain& chain, std::uint64_t& written, WriteEnd end) {
+bool write_chain(int fd, BufferChain& chain, std::uint64_t& written, WritePosition end) {
   while (!chain.empty()) {
     const Moved moved = write_some(fd, chain.front(), end);
     if (moved.kind != Moved::Kind::kBytes) return moved.kind == Moved::Kind::kLater;
     written += moved.bytes;
-    chain.drop(moved.bytes);
+    chain.consume(moved.bytes);
   }
   return true;
 }
 
 Descriptor bind_at(const core::Address& address) {
-  const std::string what = name_of_listener(address);
+  const std::string description = describe_listener(address);
   Descriptor socket(::socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0));
-  if (socket.get() < 0) throw SystemCallError(SystemCall::kSocket, errno, what);
-  set_option(socket.get(), SOL_SOCKET, SO_REUSEADDR);
+  if (socket.get() < 0) throw SystemCallError(SystemCall::kSocket, errno, description);
+  enable_option(socket.get(), SOL_SOCKET, SO_REUSEADDR);
   const sockaddr_in at = system_address(address);
   if (::bind(socket.get(), reinterpret_cast<const sockaddr*>(&at), sizeof at) != 0)
-    throw SystemCallError(SystemCall::kBind, errno, what);
+    throw SystemCallError(SystemCall::kBind, errno, description);
   return socket;
 }
 
 void listen_on(int fd, const core::Address& address) {
-  if (::listen(fd, kBacklog) != 0)
-    throw SystemCallError(SystemCall::kListen, errno, name_of_listener(address));
+  if (::listen(fd, kListenBacklog) != 0)
+    throw SystemCallError(SystemCall::kListen, errno, describe_listener(address));
 }
 
 Descriptor listen_at(const core::Address& address) {
@@ -129,29 +129,29 @@
   while (true) {
     const int fd = ::accept4(listener, nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC);
     if (fd >= 0) {
-      set_option(fd, IPPROTO_TCP, TCP_NODELAY);
+      enable_option(fd, IPPROTO_TCP, TCP_NODELAY);
       return {Accepted::Kind::kClient, fd};
     }
     switch (meaning_of(SystemCall::kAccept, errno)) {
       case ErrorMeaning::kTryAtOnce:
         continue;
       case ErrorMeaning::kTryLater:
-        return {Accepted::Kind::kNoRoom, -1};
+        return {Accepted::Kind::kNoResources, -1};
       case ErrorMeaning::kNothingNow:
       case ErrorMeaning::kOver:
-        return {Accepted::Kind::kNobodyWaits, -1};
+        return {Accepted::Kind::kNonePending, -1};
     }
   }
 }
 
 Connecting begin_connect(const core::Address& address) {
   const int fd = ::socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
-  if (fd < 0) return {-1, end_of_connect(errno)};
-  set_option(fd, IPPROTO_TCP, TCP_NODELAY);
+  if (fd < 0) return {-1, connection_end_for(errno)};
+  enable_option(fd, IPPROTO_TCP, TCP_NODELAY);
   const sockaddr_in to = system_address(address);
   if (::connect(fd, reinterpret_cast<const sockaddr*>(&to), sizeof to) == 0) return {fd, {}};
   if (errno == EINPROGRESS || errno == EINTR) return {fd, {}};
-  const ConnectionEnd end = end_of_connect(errno);
+  const ConnectionEnd end = connection_end_for(errno);
   ::close(fd);
   return {-1, end};
 }
@@ -161,7 +161,7 @@
   socklen_t size = sizeof error;
   if (getsockopt(fd, SOL_SOCKET, SO_ERROR, &error, &size) != 0) error = errno;
   if (error == 0) return true;
-  end = end_of_connect(error);
+  end = connection_end_for(error);
   return false;
 }
 
--- a/src/net/sockets.h
+++ b/src/net/sockets.h
@@ -18,17 +18,21 @@
   std::size_t bytes = 0;
 };
 
-Moved read_some(int fd, std::span<char> into);
-enum class WriteEnd { kMayGoOn, kIsLast };  // of the stream: its end is told together with its last bytes
-Moved write_some(int fd, std::string_view bytes, WriteEnd end = WriteEnd::kMayGoOn);
+Moved read_some(int fd, std::span<char> buffer);
+enum class WritePosition {
+  kMoreMayFollow,
+  kLast
+};  // of the stream: its end is told together with its last bytes
+Moved write_some(int fd, std::string_view bytes, WritePosition end = WritePosition::kMoreMayFollow);
 
 // The other side has closed or reset the connection, whatever lies unread before that.
-bool has_left(int fd);
+bool peer_has_closed(int fd);
 // Nothing more will be written, and the other side is told. False if the connection is gone.
-bool end_writing(int fd);
+bool shut_down_writing(int fd);
 
 // Writes what the chain holds, as far as the socket takes it. False if the connection is gone.
-bool write_chain(int fd, BufferChain& chain, std::uint64_t& written, WriteEnd end = WriteEnd::kMayGoOn);
+bool write_chain(int fd, BufferChain& chain, std::uint64_t& written,
+                 WritePosition end = WritePosition::kMoreMayFollow);
 
 // A socket bound to that address. Throws SystemCallError.
 Descriptor bind_at(const core::Address& address);
@@ -39,8 +43,8 @@
 
 // Who waits next, or why nobody was accepted.
 struct Accepted {
-  enum class Kind { kClient, kNobodyWaits, kNoRoom };
-  Kind kind = Kind::kNobodyWaits;
+  enum class Kind { kClient, kNonePending, kNoResources };
+  Kind kind = Kind::kNonePending;
   int fd = -1;
 };
 Accepted accept_one(int listener);
--- a/src/net/start_retry.cpp
+++ b/src/net/start_retry.cpp
@@ -20,16 +20,16 @@
 namespace {
 
 constexpr TimeUs kFirstPause = 10'000;
-constexpr TimeUs kLongestPause = 500'000;
-constexpr TimeUs kTriesFor = 8'000'000;  // a restart is to be ready within 10 s
-constexpr TimeUs kLook = 5'000;          // for a signal, within a pause
+constexpr TimeUs kMaxPause = 500'000;
+constexpr TimeUs kRetryTimeout = 8'000'000;    // a restart is to be ready within 10 s
+constexpr TimeUs kSignalPollInterval = 5'000;  // for a signal, within a pause
 
 // A SIGTERM or SIGINT is held back.
 bool stop_requested() {
-  sigset_t held;
-  sigemptyset(&held);
-  sigpending(&held);
-  return sigismember(&held, SIGTERM) == 1 || sigismember(&held, SIGINT) == 1;
+  sigset_t pending;
+  sigemptyset(&pending);
+  sigpending(&pending);
+  return sigismember(&pending, SIGTERM) == 1 || sigismember(&pending, SIGINT) == 1;
 }
 
 // True if the process is to end, now or within the pause.
@@ -37,17 +37,17 @@
   const TimeUs until = monotonic_now() + pause;
   while (!stop_requested()) {
     if (monotonic_now() >= until) return false;
-    std::this_thread::sleep_for(std::chrono::microseconds(kLook));
+    std::this_thread::sleep_for(std::chrono::microseconds(kSignalPollInterval));
   }
   return true;
 }
 
-std::string after_tries(const std::exception& last, int tries) {
+std::string describe_failure(const std::exception& last, int tries) {
   return std::string(last.what()) + " (tried " + std::to_string(tries) + (tries == 1 ? " time)" : " times)");
 }
 
 // The call that ended that try; none: it came through. Other exceptions pass.
-std::optional<SystemCallError> failure_of(const std::function<void()>& start) {
+std::optional<SystemCallError> try_start(const std::function<void()>& start) {
   try {
     start();
     return std::nullopt;
@@ -65,16 +65,16 @@
 }  // namespace
 
 StartResult start_with_retries(const std::function<void()>& start) {
-  const TimeUs begun_at = monotonic_now();
+  const TimeUs started_at = monotonic_now();
   TimeUs pause = kFirstPause;
   for (int tries = 1;; ++tries) {
     if (stop_requested_within(0)) return StartResult::kStopRequested;
-    const std::optional<SystemCallError> failure = failure_of(start);
+    const std::optional<SystemCallError> failure = try_start(start);
     if (!failure) return StartResult::kStarted;
-    const bool time_is_over = monotonic_now() - begun_at + pause > kTriesFor;
-    if (!failure->may_pass() || time_is_over) throw std::runtime_error(after_tries(*failure, tries));
+    const bool out_of_time = monotonic_now() - started_at + pause > kRetryTimeout;
+    if (!failure->may_pass() || out_of_time) throw std::runtime_error(describe_failure(*failure, tries));
     if (stop_requested_within(pause)) return StartResult::kStopRequested;
-    pause = std::min(pause * 2, kLongestPause);
+    pause = std::min(pause * 2, kMaxPause);
   }
 }
 
--- a/src/net/wall_clock_watch.h
+++ b/src/net/wall_clock_watch.h
@@ -12,15 +12,15 @@
  public:
   // By how much (us) the wall clock was stepped since the last call; 0: it went on as the monotonic one did.
   TimeUs step_since_last(WallTime wall, TimeUs monotonic) {
-    const TimeUs apart = wall.unix_us - monotonic;
-    const TimeUs step = apart_ ? apart - *apart_ : 0;
-    apart_ = apart;
-    return std::abs(step) < kLeastStep ? 0 : step;
+    const TimeUs offset = wall.unix_us - monotonic;
+    const TimeUs step = last_offset_ ? offset - *last_offset_ : 0;
+    last_offset_ = offset;
+    return std::abs(step) < kMinStep ? 0 : step;
   }
 
  private:
-  static constexpr TimeUs kLeastStep = 20'000;  // between two turns no clock is slewed by so much
-  std::optional<TimeUs> apart_;
+  static constexpr TimeUs kMinStep = 20'000;  // between two turns no clock is slewed by so much
+  std::optional<TimeUs> last_offset_;
 };
 
 }  // namespace orchidgw::net
--- a/tests/integration/front_door_fixture.h
+++ b/tests/integration/front_door_fixture.h
@@ -76,11 +76,12 @@
   void open(std::size_t clients) {
     const int listener = net::listen_at({"127.0.0.1", 0}).release();
     ASSERT_GE(listener, 0);
-    sockaddr_in at{};
-    socklen_t size = sizeof at;
-    ASSERT_EQ(getsockname(listener, reinterpret_cast<sockaddr*>(&at), &size), 0);
-    address = Poco::Net::SocketAddress("127.0.0.1", ntohs(at.sin_port));
-    door = std::make_unique<net::FrontDoor>(context, listener, net::FrontLimits{clients, 1'000'000}, reducer);
+    sockaddr_in socket_address{};
+    socklen_t size = sizeof socket_address;
+    ASSERT_EQ(getsockname(listener, reinterpret_cast<sockaddr*>(&socket_address), &size), 0);
+    address = Poco::Net::SocketAddress("127.0.0.1", ntohs(socket_address.sin_port));
+    client_listener =
+        std::make_unique<net::FrontDoor>(context, listener, net::FrontLimits{clients, 1'000'000}, reducer);
   }
 
   Poco::Net::StreamSocket connect() {
@@ -95,9 +96,9 @@
 
   // Bytes, 0 at the end, -1 for a reset.
   static int read(Poco::Net::StreamSocket& socket) {
-    char into[4096];
+    char buffer[4096];
     try {
-      return socket.receiveBytes(into, sizeof into);
+      return socket.receiveBytes(buffer, sizeof buffer);
     } catch (const Poco::Net::ConnectionResetException&) {
       return -1;
     }
@@ -135,20 +136,20 @@
   TimeUs turn() {
     std::unique_lock lock(mutex);
     context.closed.clear();
-    if (door) door->between_turns(net::monotonic_now());
+    if (client_listener) client_listener->between_turns(net::monotonic_now());
     if (condition && condition()) {
       running = false;
       changed.notify_all();
-      changed.wait(lock, [this] { return running || over; });
+      changed.wait(lock, [this] { return running || finished; });
     }
-    if (over) reactor.stop();
+    if (finished) reactor.stop();
     return 1000;
   }
 
   ~FrontDoorTest() override {
     {
       const std::lock_guard lock(mutex);
-      over = true;
+      finished = true;
       running = true;
       changed.notify_all();
     }
@@ -170,7 +171,7 @@
   std::condition_variable changed;
   std::function<bool()> condition;
   bool running = false;
-  bool over = false;
+  bool finished = false;
   std::thread loop;
   bool crowded = false;
   metrics::Counters counters;
@@ -188,7 +189,7 @@
                        {}};
   core::Reducer reducer{settings(), 1, counters};
   Poco::Net::SocketAddress address;
-  std::unique_ptr<net::FrontDoor> door;
+  std::unique_ptr<net::FrontDoor> client_listener;
 };
 
 }  // namespace orchidgw::integration
--- a/tests/integration/front_door_memory_test.cpp
+++ b/tests/integration/front_door_memory_test.cpp
@@ -10,7 +10,7 @@
 class FrontDoorMemory : public FrontDoorTest {
  protected:
   static constexpr std::int32_t kManyCalls = 2000;  // more than a paused client may have held
-  static constexpr std::size_t kBytesOfMuch = 16UL * 1024 * 1024;
+  static constexpr std::size_t kLargeAnswerBytes = 16UL * 1024 * 1024;
   static constexpr int kSomeTurns = 50;
 
   static std::string calls_from(std::int32_t first) {
@@ -18,22 +18,22 @@
     for (std::int32_t i = first; i < kManyCalls; ++i) all += invoke(i);
     return all;
   }
-  void answer_with_much(core::RequestTag tag) {
+  void answer_with_large_result(core::RequestTag tag) {
     core::AnswerServed served;
     served.client = std::get<core::RequestArrived>(events.front()).client;
     served.tag = tag;
     net::BufferChain rows(pool);
-    rows.append(std::string(kBytesOfMuch, 'x'));
+    rows.append(std::string(kLargeAnswerBytes, 'x'));
     served.pages.push_back(std::make_unique<net::ChainPayload>(std::move(rows)));
-    door->answer(served);
+    client_listener->answer(served);
   }
   void answer_refused(core::RequestTag tag) {
     core::AnswerRefused refused;
     refused.client = std::get<core::RequestArrived>(events.front()).client;
     refused.tag = tag;
-    door->answer(refused);
+    client_listener->answer(refused);
   }
-  bool some_turns() {
+  bool run_some_turns() {
     return run_until([turns = 0]() mutable { return ++turns > kSomeTurns; });
   }
   std::vector<const core::RequestArrived*> arrivals() const {
@@ -54,9 +54,9 @@
   write(socket, invoke(2));
   ASSERT_TRUE(run_until([this] { return count<core::RequestArrived>() == 1; }));
   crowded = true;
-  std::string much;
-  for (std::int32_t i = 3; i < 2000; ++i) much += invoke(i);
-  write(socket, much + abort(2));
+  std::string many_calls;
+  for (std::int32_t i = 3; i < 2000; ++i) many_calls += invoke(i);
+  write(socket, many_calls + abort(2));
   ASSERT_TRUE(run_until([turns = 0]() mutable { return ++turns > kTurnsOfTenthSecond; }));
   EXPECT_EQ(count<core::RequestAborted>(), 1U);
 }
@@ -64,7 +64,7 @@
 // Memory is overdrawn by the answers of a client that reads nothing: it is closed with a request that has no
 // answer (issue 46, A 3).
 TEST_F(FrontDoorMemory, AClientIsNotClosedOverARequestBecauseMemoryIsShort) {
-  constexpr std::size_t kMoreThanSocketsTake = 16UL * 1024 * 1024;
+  constexpr std::size_t kMoreThanSocketBuffersHold = 16UL * 1024 * 1024;
   open(4);
   auto socket = client();
   write(socket, invoke(2));
@@ -74,11 +74,11 @@
   answer.client = std::get<core::RequestArrived>(events.back()).client;
   answer.tag = 2;
   net::BufferChain rows(pool);
-  rows.append(std::string(kMoreThanSocketsTake, 'x'));
+  rows.append(std::string(kMoreThanSocketBuffersHold, 'x'));
   answer.pages.push_back(std::make_unique<net::ChainPayload>(std::move(rows)));
-  door->answer(answer);
-  ASSERT_TRUE(pool.overdrawn());
-  door->between_turns(net::monotonic_now());
+  client_listener->answer(answer);
+  ASSERT_TRUE(pool.over_limit());
+  client_listener->between_turns(net::monotonic_now());
   EXPECT_EQ(counters.violations[static_cast<std::size_t>(Denial::kAnswerOwed)], 0U);
 }
 
@@ -90,7 +90,7 @@
   ASSERT_TRUE(run_until([this] { return count<core::RequestArrived>() == 1; }));
   crowded = true;
   write(socket, calls_from(3));
-  ASSERT_TRUE(some_turns());
+  ASSERT_TRUE(run_some_turns());
   const std::size_t refused = arrivals().size() - 1;
   EXPECT_GT(refused, 0U);
   crowded = false;
@@ -112,7 +112,7 @@
   auto socket = client();
   crowded = true;
   write(socket, calls_from(2) + abort(5));
-  ASSERT_TRUE(some_turns());
+  ASSERT_TRUE(run_some_turns());
   ASSERT_EQ(count<core::RequestArrived>(), 0U);
   crowded = false;
   ASSERT_TRUE(run_until([this] { return count<core::RequestArrived>() == kManyCalls - 3; }));
@@ -126,14 +126,14 @@
   auto socket = client();
   write(socket, invoke(2) + invoke(3));
   ASSERT_TRUE(run_until([this] { return count<core::RequestArrived>() == 2; }));
-  answer_with_much(2);
-  ASSERT_TRUE(pool.overdrawn());
-  door->between_turns(net::monotonic_now());
+  answer_with_large_result(2);
+  ASSERT_TRUE(pool.over_limit());
+  client_listener->between_turns(net::monotonic_now());
   EXPECT_EQ(ends(core::ConnectionEnd::kSilent), 0U);
   answer_refused(3);
-  door->between_turns(net::monotonic_now());
+  client_listener->between_turns(net::monotonic_now());
   EXPECT_EQ(ends(core::ConnectionEnd::kSilent), 1U);
-  EXPECT_FALSE(pool.overdrawn());
+  EXPECT_FALSE(pool.over_limit());
 }
 
 // Calls that are held would keep a client that reads nothing from being closed for ever: they are refused.
@@ -144,13 +144,13 @@
   ASSERT_TRUE(run_until([this] { return count<core::RequestArrived>() == 1; }));
   crowded = true;
   write(socket, invoke(3));
-  ASSERT_TRUE(some_turns());
-  answer_with_much(2);
-  door->between_turns(net::monotonic_now());
+  ASSERT_TRUE(run_some_turns());
+  answer_with_large_result(2);
+  client_listener->between_turns(net::monotonic_now());
   ASSERT_EQ(arrivals().size(), 2U);
   EXPECT_EQ(arrivals().back()->refuse_as, Reason::kBacklog);
   answer_refused(3);
-  door->between_turns(net::monotonic_now());
+  client_listener->between_turns(net::monotonic_now());
   EXPECT_EQ(ends(core::ConnectionEnd::kSilent), 1U);
   EXPECT_EQ(counters.violations[static_cast<std::size_t>(Denial::kAnswerOwed)], 0U);
 }
--- a/tests/integration/front_door_test.cpp
+++ b/tests/integration/front_door_test.cpp
@@ -12,7 +12,7 @@
   open(4);
   auto socket = client();
   write(socket, invoke(2));
-  door->between_turns(net::monotonic_now() + 6 * kSecond);
+  client_listener->between_turns(net::monotonic_now() + 6 * kSecond);
   EXPECT_EQ(count<core::RequestArrived>(), 1U);
   EXPECT_EQ(ends(core::ConnectionEnd::kIdleExpired), 0U);
 }
@@ -22,7 +22,7 @@
   auto socket = connect();
   run_until([this] { return counters.accepted == 1; });
   write(socket, invoke(1));
-  door->between_turns(net::monotonic_now() + 3 * kSecond);
+  client_listener->between_turns(net::monotonic_now() + 3 * kSecond);
   EXPECT_EQ(count<core::RequestArrived>(), 1U);
   EXPECT_EQ(ends(core::ConnectionEnd::kSilent), 0U);
 }
@@ -31,10 +31,10 @@
   open(4);
   auto socket = client();
   const TimeUs now = net::monotonic_now();
-  door->begin_shutdown({now, now, now + 3 * kSecond, now + 4 * kSecond});
-  ASSERT_TRUE(door->stop_listening(false));
+  client_listener->begin_shutdown({now, now, now + 3 * kSecond, now + 4 * kSecond});
+  ASSERT_TRUE(client_listener->stop_listening(false));
   write(socket, invoke(2));
-  door->between_turns(net::monotonic_now() + kSecond);
+  client_listener->between_turns(net::monotonic_now() + kSecond);
   EXPECT_EQ(count<core::RequestArrived>(), 1U);
   EXPECT_EQ(ends(core::ConnectionEnd::kShutDown), 0U);
 }
@@ -45,7 +45,7 @@
   std::this_thread::sleep_for(150ms);  // only who was quiet for a while gives its place away
   write(socket, invoke(2));
   auto newcomer = connect();
-  door->on_readable();
+  client_listener->on_readable();
   EXPECT_EQ(count<core::RequestArrived>(), 1U);
   EXPECT_EQ(ends(core::ConnectionEnd::kMadeRoom), 0U);
 }
@@ -55,9 +55,9 @@
 TEST_F(FrontDoorTest, WhatComesAfterTheCloseIsThrownAwayAndResetsNothing) {
   open(4);
   auto socket = client();
-  door->between_turns(net::monotonic_now() + 6 * kSecond);
+  client_listener->between_turns(net::monotonic_now() + 6 * kSecond);
   EXPECT_EQ(ends(core::ConnectionEnd::kIdleExpired), 1U);
-  EXPECT_EQ(door->lingering(), 1U);
+  EXPECT_EQ(client_listener->lingering(), 1U);
   EXPECT_EQ(count<core::ClientClosed>(), 1U);
   write(socket, invoke(2));
   write(socket, invoke(3));
@@ -66,9 +66,9 @@
   write(socket, invoke(4));  // a reset would show here
   EXPECT_EQ(read(socket), 0);
   EXPECT_EQ(count<core::RequestArrived>(), 0U);
-  EXPECT_FALSE(door->empty());
+  EXPECT_FALSE(client_listener->empty());
   socket.close();
-  run_until([this] { return door->empty(); });
+  run_until([this] { return client_listener->empty(); });
 }
 
 // A client that breaks the rules again and again gets the answers that it was sent before the end.
@@ -79,9 +79,9 @@
     out.writeMessageBegin("nonsense", apache::thrift::protocol::T_CALL, 1);
     out.writeFieldStop();
   });
-  std::string much;
-  for (int i = 0; i < 4000; ++i) much += nonsense;  // far more than is read at once
-  write(socket, much);
+  std::string many_calls;
+  for (int i = 0; i < 4000; ++i) many_calls += nonsense;  // far more than is read at once
+  write(socket, many_calls);
   run_until([this] { return ends(core::ConnectionEnd::kTooMuch) == 1; });
   run_until([this, turns = 0]() mutable { return ++turns > 20; });
   int last = 1;
@@ -96,13 +96,13 @@
   std::vector<Poco::Net::StreamSocket> sockets;
   for (int i = 0; i < 30; ++i) {
     sockets.push_back(client());
-    door->between_turns(net::monotonic_now() + 6 * kSecond + i * kSecond / 5);
-    EXPECT_LE(door->lingering(), 18U);
+    client_listener->between_turns(net::monotonic_now() + 6 * kSecond + i * kSecond / 5);
+    EXPECT_LE(client_listener->lingering(), 18U);
   }
   EXPECT_EQ(ends(core::ConnectionEnd::kIdleExpired), 30U);
-  EXPECT_GT(door->lingering(), 0U);
-  door->between_turns(net::monotonic_now() + 60 * kSecond);
-  EXPECT_TRUE(door->empty());
+  EXPECT_GT(client_listener->lingering(), 0U);
+  client_listener->between_turns(net::monotonic_now() + 60 * kSecond);
+  EXPECT_TRUE(client_listener->empty());
 }
 
 // Guards against attempts for a client that left while it was not read: its close lies behind unread bytes.
@@ -110,13 +110,13 @@
   open(4);
   auto socket = client();
   crowded = true;
-  std::string much;
-  for (std::int32_t i = 2; i < 2000; ++i) much += invoke(i);
-  write(socket, much);
+  std::string many_calls;
+  for (std::int32_t i = 2; i < 2000; ++i) many_calls += invoke(i);
+  write(socket, many_calls);
   run_until([this] { return counters.reads_paused == 1; });
   run_until([this, turns = 0]() mutable { return ++turns > 20; });
   EXPECT_EQ(count<core::ClientClosed>(), 0U);
-  EXPECT_LT(counters.client_bytes_in, much.size() / 2);  // what is paused is not read without end
+  EXPECT_LT(counters.client_bytes_in, many_calls.size() / 2);  // what is paused is not read without end
   socket.close();
   run_until([this] { return count<core::ClientClosed>() == 1; });
   EXPECT_EQ(count<core::RequestArrived>(), 0U);
@@ -133,7 +133,7 @@
   ASSERT_TRUE(run_until([this] { return count<core::RequestAborted>() == 1; }));
   EXPECT_EQ(std::get<core::RequestAborted>(events.back()).tag, 1);
   EXPECT_EQ(count<core::RequestArrived>(), 0U);
-  EXPECT_FALSE(door->empty());
+  EXPECT_FALSE(client_listener->empty());
   crowded = false;
   run_until([this] { return count<core::RequestArrived>() == 3; });
   std::vector<core::RequestTag> tags;
@@ -149,10 +149,10 @@
   open(4);
   crowded = true;
   auto socket = connect();
-  EXPECT_FALSE(door->stop_listening(false));
+  EXPECT_FALSE(client_listener->stop_listening(false));
   EXPECT_EQ(counters.accepted, 0U);
   crowded = false;
-  EXPECT_TRUE(door->stop_listening(false));
+  EXPECT_TRUE(client_listener->stop_listening(false));
   EXPECT_EQ(counters.accepted, 1U);
   write(socket, invoke(1));
   run_until([this] { return count<core::RequestArrived>() == 1; });
--- a/tests/unit/buffer_pool_test.cpp
+++ b/tests/unit/buffer_pool_test.cpp
@@ -27,7 +27,7 @@
     const auto front = chain.front();
     const std::size_t n = std::min<std::size_t>(front.size(), 777);
     drained += front.substr(0, n);
-    chain.drop(n);
+    chain.consume(n);
   }
   EXPECT_EQ(drained, all);
   EXPECT_EQ(pool.in_use(), 0U);
@@ -49,11 +49,11 @@
 // Guards against a peak of one moment that the process keeps for the rest of its days.
 TEST_F(Buffers, APeakIsGivenBack) {
   std::vector<std::unique_ptr<Block>> blocks;
-  for (int i = 0; i < 60; ++i) blocks.push_back(pool.take());
-  for (auto& block : blocks) pool.give_back(std::move(block));
+  for (int i = 0; i < 60; ++i) blocks.push_back(pool.acquire());
+  for (auto& block : blocks) pool.release(std::move(block));
   EXPECT_EQ(pool.in_use(), 0U);
-  EXPECT_LE(pool.kept_free(), kFreeKept);
-  EXPECT_GT(pool.kept_free(), 0U);
+  EXPECT_LE(pool.free_count(), kMaxSpareBuffers);
+  EXPECT_GT(pool.free_count(), 0U);
 }
 
 TEST_F(Buffers, BuffersAreUsedAgain) {
--- a/tests/unit/channel_test.cpp
+++ b/tests/unit/channel_test.cpp
@@ -15,7 +15,7 @@
 namespace orchidgw::net {
 namespace {
 
-class Deaf final : public ChannelHandler {
+class IgnoringHandler final : public ChannelHandler {
  public:
   void on_readable() override {}
   void on_writable() override {}
@@ -49,7 +49,7 @@
   }
   int ends[2] = {-1, -1};
   Reactor reactor{[] { return TimeUs{0}; }};
-  Deaf handler;
+  IgnoringHandler handler;
 };
 
 // Guards against a loop that spins: POCO 1.11 left the event of an observer that was taken out in the poll.
