--- a/src/net/attention.h
+++ b/src/net/attention.h
@@ -1,5 +1,5 @@
-// When this process did not attend to its sockets: starved of CPU, stopped, or busy in one turn for long. No
-// I/O, no clock.
+// Measures for how long the event loop was stalled, so that sockets were not served: starved of CPU, stopped,
+// or busy with one long turn. No I/O; the caller passes the time in.
 #pragma once
 
 #include <algorithm>
@@ -10,33 +10,37 @@
 
 class Attention {
  public:
-  // A turn begins at `now`. What passed since the loop was to be back, but for `kTolerance`, is lost. True if
-  // the turn is to be left to the one after it, which comes once the sockets were read: never twice in a row,
-  // lest a process that is always late does nothing but read.
+  // Begins a turn at `now` (monotonic time). The time since the turn was expected, less `kTolerance`, counts
+  // as stalled. True if the turn is late: then it has to act on nothing and leave that to the next one, which
+  // comes after the sockets are read. Never true twice in a row: a process that is always late would only
+  // read.
   bool turn_begins(TimeUs now) {
-    const TimeUs late = expected_turn_at_ > 0 ? std::max<TimeUs>(now - expected_turn_at_ - kTolerance, 0) : 0;
-    stalled_time_ += late;
-    turn_lateness_ = late;
+    const TimeUs lateness =
+        expected_turn_at_ > 0 ? std::max<TimeUs>(now - expected_turn_at_ - kTolerance, 0) : 0;
+    stalled_time_ += lateness;
+    turn_lateness_ = lateness;
     expected_turn_at_ = now;
-    left_out_last_turn_ = late > 0 && !left_out_last_turn_;
+    left_out_last_turn_ = lateness > 0 && !left_out_last_turn_;
     return left_out_last_turn_;
   }
 
-  // The turn is over; the loop waits at most so long (us).
+  // Ends the turn; the loop waits at most `wait` (us) before the next one.
   void loop_waits(TimeUs wait) { expected_turn_at_ += wait; }
 
-  // In us: by so much the turn that began last was late.
+  // How late the current turn began, in us.
   TimeUs late() const { return turn_lateness_; }
 
-  // In us, all in all. A limit of time that is counted without it lays nothing of that on the other side.
+  // Sum of all stalls so far, in us. Time-outs that leave it out do not charge this process's stalls to the
+  // peer.
   TimeUs lost() const { return stalled_time_; }
 
  private:
-  static constexpr TimeUs kTolerance = 20'000;  // what turns take and timers are late by without a stall
-  TimeUs expected_turn_at_ = 0;                 // 0: no turn yet
+  // Turns take, and timers are late by, up to so much without a stall.
+  static constexpr TimeUs kTolerance = 20'000;
+  TimeUs expected_turn_at_ = 0;  // 0: no turn so far
   TimeUs stalled_time_ = 0;
   TimeUs turn_lateness_ = 0;
-  bool left_out_last_turn_ = false;  // the last turn was left out
+  bool left_out_last_turn_ = false;
 };
 
 }  // namespace orchidgw::net
--- a/src/net/buffer_pool.cpp
+++ b/src/net/buffer_pool.cpp
@@ -19,7 +19,7 @@
   --in_use_;
   counters_.buffers.set(in_use_);
   free_.push_back(std::move(block));
-  // Guards against a peak that is kept for good.
+  // Guards against keeping the memory of a peak for good.
   while (free_.size() > in_use_ + kMaxSpareBuffers) free_.pop_back();
 }
 
--- a/src/net/buffer_pool.h
+++ b/src/net/buffer_pool.h
@@ -1,4 +1,4 @@
-// Buffers of one size, used again from a pool, and chains of them. No I/O here.
+// A pool of reusable buffers of one size, and byte queues (chains) made of them. No I/O.
 #pragma once
 
 #include <array>
@@ -16,29 +16,32 @@
 
 namespace orchidgw::net {
 
-inline constexpr std::size_t kBufferBytes = 8192;  // a page of 6,000 bytes with its headers fits
+inline constexpr std::size_t kBufferBytes = 8192;  // fits a page of 6,000 bytes with its headers
 
-inline constexpr std::size_t kMaxSpareBuffers = 16;  // free buffers kept beyond as many as are in use
+inline constexpr std::size_t kMaxSpareBuffers = 16;  // free buffers kept in excess of the number in use
 
 using Block = std::array<char, kBufferBytes>;
 
 class BufferPool {
  public:
+  // `max_buffers` is a soft limit, see low() and over_limit().
   BufferPool(std::size_t max_buffers, metrics::Counters& counters)
       : max_buffers_(max_buffers), counters_(counters) {}
 
-  // Always gives a block: what is begun can be finished. Whoever reads or accepts asks `low` before.
+  // Always gives a block, so that work in progress can be finished. Callers that read or accept new work
+  // check low() first.
   std::unique_ptr<Block> acquire();
   void release(std::unique_ptr<Block> block);
 
-  // Too few are left to begin anything new: stop reading and accepting.
+  // Too few buffers are left for new work: reading and accepting have to stop.
   bool low() const { return in_use_ + reserve() >= max_buffers_; }
-  // What was begun has taken half as much again: whoever holds most of it has to go.
+  // Work in progress uses one and a half times the limit: the clients that hold most of it have to be closed.
   bool over_limit() const { return in_use_ > max_buffers_ + max_buffers_ / 2; }
   std::size_t in_use() const { return in_use_; }
   std::size_t free_count() const { return free_.size(); }
 
  private:
+  // Kept for work in progress.
   std::size_t reserve() const { return max_buffers_ / 8; }
   std::size_t max_buffers_;
   std::size_t in_use_ = 0;
@@ -46,7 +49,8 @@
   metrics::Counters& counters_;
 };
 
-// Bytes in a row of pooled buffers: filled at the end, drained at the front.
+// A queue of bytes in pooled buffers: filled at the end, drained at the front. Gives its buffers back to the
+// pool.
 class BufferChain {
  public:
   explicit BufferChain(BufferPool& pool) : pool_(&pool) {}
@@ -60,14 +64,14 @@
   bool empty() const { return size_ == 0; }
 
   void append(std::string_view bytes);
-  void append(BufferChain&& other);  // takes the other's buffers over
-  std::span<char> room();            // free space at the end, never empty
-  void commit(std::size_t bytes);    // so much of it was written
+  void append(BufferChain&& other);  // moves the other's buffers here, without a copy
+  std::span<char> room();            // free space at the end, at least one byte
+  void commit(std::size_t bytes);    // this many bytes were written into room()
 
-  std::string_view front() const;   // the first stretch; empty if the chain is
-  void consume(std::size_t bytes);  // from the front
+  std::string_view front() const;   // the first contiguous bytes; empty if the chain is
+  void consume(std::size_t bytes);  // removes them from the front
   void clear();
-  std::string text() const;  // a copy of all
+  std::string text() const;  // a copy of the whole content
 
  private:
   struct Link {
@@ -80,7 +84,7 @@
   std::size_t size_ = 0;
 };
 
-// A page of rows as it passes through the core.
+// A page of result rows on its way through the core, which does not look into it.
 class ChainPayload final : public core::Payload {
  public:
   explicit ChainPayload(BufferChain chain) : chain_(std::move(chain)) {}
--- a/src/net/channel.cpp
+++ b/src/net/channel.cpp
@@ -18,7 +18,7 @@
 
 Channel::Channel(Reactor& reactor, int fd, ChannelHandler& handler)
     : reactor_(reactor), handler_(handler), fd_(fd), socket_(new Poco::Net::StreamSocketImpl(fd)) {
-  // Errors are always reported by the poll: without an observer they would spin.
+  // The poll always reports errors: without an observer for them the loop would spin.
   reactor_.addEventHandler(socket_, Observer<Channel, ErrorNotification>(*this, &Channel::onError));
 }
 
@@ -39,9 +39,9 @@
 
 void Channel::want_write(bool enabled) { set_interest(enabled, writing_, &Channel::onWritable); }
 
-// Guards against a loop that spins: POCO 1.11 takes an observer out but leaves its event in the poll (seen in
-// a trace: a connection that had come up stayed registered for writing). Adding a handler again sets the
-// events to those that still have observers.
+// Guards against a loop that spins: POCO 1.11 removes an observer but leaves its event in the poll (seen in a
+// trace: an established connection stayed registered for writing). Adding a handler again sets the events to
+// those that still have observers.
 void Channel::renew_interest() {
   reactor_.addEventHandler(socket_, Observer<Channel, ErrorNotification>(*this, &Channel::onError));
 }
@@ -55,7 +55,7 @@
   fd_ = -1;
 }
 
-// No exception may cross a callback of the reactor: it would end the turn for all other sockets.
+// No exception may leave a callback of the reactor: the other sockets would not be handled in this turn.
 template <typename Work>
 void Channel::run_guarded(Work work) {
   if (!is_open()) return;
--- a/src/net/client_connection.cpp
+++ b/src/net/client_connection.cpp
@@ -14,24 +14,25 @@
 using core::ConnectionEnd;
 
 constexpr std::size_t kMaxFrameBytes = 64UL * 1024;  // of a request
-constexpr int kMaxReadsPerEvent = 8;                 // of one buffer each, lest one client hold up the others
-constexpr std::size_t kMaxUnsentBytes = 512UL * 1024;  // of answers: then nothing more is read
-constexpr TimeUs kFrameTimeout = 2'000'000;  // from its first byte; the first one from the connection's start
-constexpr TimeUs kUnreadTimeout = 5'000'000;  // an answer of which nothing moves: the client is gone
-constexpr TimeUs kIdleTimeout = 5'000'000;    // clients close an idle connection after 4 s themselves
-constexpr TimeUs kTransitTime = 100'000;      // so long without a byte: none is on the way
+constexpr int kMaxReadsPerEvent = 8;  // of one buffer each, so that no client holds up the others
+constexpr std::size_t kMaxUnsentBytes = 512UL * 1024;  // of answers: beyond it the client is paused
+// From a frame's first byte; for the first frame from the connection's start.
+constexpr TimeUs kFrameTimeout = 2'000'000;
+constexpr TimeUs kUnreadTimeout = 5'000'000;  // without progress of an answer: the client is taken for gone
+constexpr TimeUs kIdleTimeout = 5'000'000;    // clients themselves close an idle connection after 4 s
+constexpr TimeUs kTransitTime = 100'000;      // without a byte for so long, none is on the way
 constexpr int kMaxInvalidRequests = 8;        // requests of one connection that break the protocol's rules
 constexpr TimeUs kUsPerMs = 1000;
-constexpr std::size_t kMaxHeldCalls = 32;  // calls of one that is paused
+constexpr std::size_t kMaxHeldCalls = 32;  // of a paused client
 constexpr std::size_t kMaxHeldBytes = 16UL * 1024;
-constexpr std::size_t kMaxUnsentRefusalBytes = 64UL * 1024;  // bytes unsent beside kMaxUnsentBytes
-constexpr std::size_t kMaxDiscardedBytes = 256UL * 1024;     // of a connection that lingers
+constexpr std::size_t kMaxUnsentRefusalBytes = 64UL * 1024;  // unsent bytes in addition to kMaxUnsentBytes
+constexpr std::size_t kMaxDiscardedBytes = 256UL * 1024;     // of a lingering connection
 
 std::size_t held_call_size(const thrift::FrontCall& call) {
   return sizeof call + (call.request ? call.request->statement.size() : 0);
 }
 
-// The other side has not ended the connection: it may be writing in this moment.
+// True if the client did not end the connection itself: it may still be writing.
 bool is_ended_by_us(ConnectionEnd end) {
   switch (end) {
     case ConnectionEnd::kIdleExpired:
@@ -67,8 +68,8 @@
 void ClientConnection::on_readable() {
   if (lingering_) return discard_input();
   read_available();
-  // Guards against a shutdown that waits for clients which always have a request open. Reading goes on: an
-  // abort that is not read would let an attempt begin for nobody.
+  // Guards against a shutdown that waits for clients which always have a request open. Reading goes on: with
+  // an abort left unread, an attempt could start for a request that nobody waits for.
   if (totals_.shutting_down && !paused_ && unanswered_requests() > 0) draining_ = true;
 }
 
@@ -91,7 +92,7 @@
   }
 }
 
-// Guards against memory filled with halves of frames: whoever passes the common bound is closed.
+// Guards against memory filled with unfinished frames: a client that exceeds the common bound is closed.
 bool ClientConnection::update_buffered_bytes() {
   totals_.buffered_bytes -= counted_bytes_;
   counted_bytes_ = frame_reader_.gathered() + held_bytes_;
@@ -114,9 +115,9 @@
   return true;
 }
 
-// Guards against attempts for a request that its client gave up while nothing of it was read: while a client
-// is paused its calls wait here, within bounds, and its aborts go through. A call beyond the bounds is
-// refused at once: unread, it would hide an abort behind it.
+// Guards against attempts for a request that its client aborted while nothing was read from it: while a
+// client is paused its calls are held here, within bounds, and its aborts are passed on. A call beyond the
+// bounds is refused at once: left unread, it would hide an abort behind it.
 void ClientConnection::handle_call(thrift::FrontCall call) {
   if (call.kind == thrift::FrontCall::Kind::kAbort) return handle_abort(call.aborted);
   if (!paused_) return dispatch_call(call, Reason::kNone);
@@ -127,7 +128,7 @@
 
 void ClientConnection::handle_abort(std::int32_t sequence) {
   if (remove_held_call(sequence)) return;
-  mark_answered(sequence);  // nothing is owed any more
+  mark_answered(sequence);  // an aborted request gets no answer
   context_.post(core::RequestAborted{id_, sequence});
 }
 
@@ -146,14 +147,14 @@
          totals_.buffered_bytes < totals_.max_buffered_bytes / 2;
 }
 
-// Something that was read can still be given up, and its client reads its answers.
+// There are requests that the client can still abort, and it reads its answers.
 bool ClientConnection::reads_for_aborts() const {
   return (catching_up_ || !unanswered_.empty()) && output_.size() < kMaxUnsentBytes + kMaxUnsentRefusalBytes;
 }
 
 void ClientConnection::dispatch_call(const thrift::FrontCall& call, Reason refuse_as) {
   using Kind = thrift::FrontCall::Kind;
-  if (!call.wants_answer) return;  // an answer to a oneway message would not be understood
+  if (!call.wants_answer) return;  // clients would misread an answer to a oneway message
   if (call.kind == Kind::kPing) {
     send(thrift::pong(call.sequence, is_ready_()));
   } else if (call.kind == Kind::kInvoke) {
@@ -172,11 +173,11 @@
   if (it != unanswered_.end()) unanswered_.erase(it);
 }
 
-// Guards against a request that was read and is closed without an answer, for what its client said besides.
+// Guards against a request that was read and gets no answer, because of something else that its client sent.
 void ClientConnection::close_when_answered(ConnectionEnd end) {
   if (!is_open() || closing_end_) return;
   closing_end_ = end;
-  pause();  // what it says is not read any more; that it leaves is still looked for
+  pause();  // nothing more is read; a disconnect is still detected
   frame_reader_ = thrift::FrameReader(kMaxFrameBytes);
   update_buffered_bytes();
   channel_.want_read(false);
@@ -219,7 +220,7 @@
   count_invalid_request();
 }
 
-// Guards against clients that send what can't be used again and again, as fast as it is turned away.
+// Guards against clients that repeat invalid requests as fast as these are refused.
 void ClientConnection::count_invalid_request() {
   if (++invalid_requests_ >= kMaxInvalidRequests) close_when_answered(ConnectionEnd::kTooMuch);
 }
@@ -260,7 +261,7 @@
 
 bool ClientConnection::is_output_full() const { return output_.size() > kMaxUnsentBytes; }
 
-// Guards against memory running out: nothing new is taken, and what is not read stays with the sender.
+// Guards against memory running out: nothing new is accepted, and what is not read stays with the sender.
 void ClientConnection::pause() {
   if (std::exchange(paused_, true)) return;
   ++context_.counters.reads_paused;
@@ -295,7 +296,7 @@
   if (is_open()) update_buffered_bytes();
 }
 
-// Guards against attempts for a call that was held while its abort lay behind what was not read.
+// Guards against attempts for a held call whose abort arrived during the pause and has not been read.
 void ClientConnection::catch_up() {
   if (held_calls_.empty() || closing_end_ || should_read()) return;
   catching_up_ = true;
@@ -303,8 +304,8 @@
   catching_up_ = false;
 }
 
-// Guards against clients that hold a descriptor for nothing: silent newcomers, frames that never end (a byte
-// now and then does not help them), machines that vanished.
+// Guards against clients that occupy a descriptor to no purpose: new connections that send nothing, frames
+// that never end (single bytes now and then do not extend their time), machines that vanished.
 void ClientConnection::sweep(TimeUs now, bool has_open_requests) {
   if (!has_open_requests && idle() && now - last_activity_at_ > kIdleTimeout) {
     if (confirm_quiet()) close(ConnectionEnd::kIdleExpired);
@@ -323,23 +324,24 @@
 
 void ClientConnection::shut_down(TimeUs now, bool force) {
   if (!is_open() || closing_end_) return;
-  if (!paused_) on_readable();  // the last look
+  if (!paused_) on_readable();  // reads for the last time
   if (!is_open() || closing_end_) return;
-  const bool rests = !paused_ && unanswered_requests() == 0 && output_.empty() && has_nothing_in_transit(now);
-  if (rests || force) close_when_answered(ConnectionEnd::kShutDown);
+  const bool is_idle =
+      !paused_ && unanswered_requests() == 0 && output_.empty() && has_nothing_in_transit(now);
+  if (is_idle || force) close_when_answered(ConnectionEnd::kShutDown);
 }
 
 bool ClientConnection::has_nothing_in_transit(TimeUs now) const {
   return now - last_activity_at_ > kTransitTime;
 }
 
-// Guards against attempts for a client that left while it was not read.
+// Guards against attempts for a client that disconnected while nothing was read from it.
 void ClientConnection::close_if_peer_disconnected() {
   if (paused_ && is_open() && peer_has_closed(channel_.fd())) close(ConnectionEnd::kClosedIdle);
 }
 
-// Guards against a request that came in the very moment in which its connection was to be closed: read here,
-// it is served; unread, the close would reset it and what was answered before.
+// Guards against losing a request that arrives just as its connection is to be closed: read here, it is
+// served; closed over it unread, the connection would be reset, which also takes answers sent before.
 bool ClientConnection::confirm_quiet() {
   if (!is_open() || paused_) return false;
   const std::uint64_t before = context_.counters.client_bytes_in;
@@ -347,9 +349,9 @@
   return is_open() && !paused_ && context_.counters.client_bytes_in == before;
 }
 
-// Lingering close. Guards against a close over unread bytes: the system answers it with a reset, which takes
-// answers with it that the client has not read. So the writing side is ended, and what still comes is read
-// and passed on to nobody until the client ends its side, within bounds of time (the owner's) and bytes.
+// Lingering close. Guards against a close over unread bytes: the kernel then sends a reset, which discards
+// answers that the client has not read. So the writing side is shut down, and what still arrives is read and
+// discarded until the client closes its side, within bounds of time (kept by the owner) and of bytes.
 void ClientConnection::discard_input() {
   std::array<char, 4096> into;
   for (int i = 0; i < kMaxReadsPerEvent; ++i) {
@@ -357,7 +359,7 @@
     if (moved.kind == Moved::Kind::kLater) return;
     discarded_bytes_ += moved.bytes;
     if (moved.kind != Moved::Kind::kBytes || discarded_bytes_ > kMaxDiscardedBytes) {
-      context_.reactor.hurry();  // a stop may wait for this
+      context_.reactor.hurry();  // a shutdown may wait for this
       return end_lingering();
     }
   }
--- a/src/net/client_connection.h
+++ b/src/net/client_connection.h
@@ -1,4 +1,4 @@
-// One client: frames in, answers out. Holds no state of a query.
+// The connection of one client: reads frames and writes answers. Holds no state of a query.
 #pragma once
 
 #include <deque>
@@ -17,46 +17,58 @@
 
 namespace orchidgw::net {
 
-// Of all clients together.
+// Sums over all client connections.
 struct ClientTotals {
-  std::size_t max_buffered_bytes = 0;  // bytes that their unfinished frames may hold
-  std::size_t buffered_bytes = 0;      // and do, with what those that are paused asked
-  std::size_t paused_clients = 0;      // so many wait for memory, or until they read their answers
-  bool shutting_down = false;          // each is closed behind its next answer
+  std::size_t max_buffered_bytes = 0;  // limit for `buffered_bytes`
+  std::size_t buffered_bytes = 0;      // of unfinished frames and of the held calls of paused clients
+  std::size_t paused_clients = 0;      // clients that wait for memory, or have to read their answers first
+  bool shutting_down = false;          // each client is closed after its next answer
 };
 
+// A client is paused while memory is short or too many bytes of its answers are unsent: its calls are held or
+// refused, its aborts are still acted on.
 class ClientConnection final : public ChannelHandler {
  public:
+  // Takes ownership of `fd`, a connected non-blocking socket. `is_ready` gives the answer to pings;
+  // `on_closed` is called once, when the connection closes, and may drop the owner's reference.
   ClientConnection(Context& context, core::ClientId id, int fd, ClientTotals& totals,
                    std::function<bool()> is_ready,
                    std::function<void(core::ClientId, core::ConnectionEnd)> on_closed);
 
+  // Each sends one answer. The pages of a served one are moved out of it.
   void answer(core::AnswerServed& served);
   void answer(const core::AnswerRefused& refused);
   void answer(const core::AnswerFailed& failed);
   void answer(const core::AnswerRejected& rejected);
 
-  void sweep(TimeUs now, bool has_open_requests);  // closes what has stalled
-  void resume_reading();                           // buffers are free again
+  // Closes the connection if it is idle for too long or has stalled.
+  void sweep(TimeUs now, bool has_open_requests);
+  // Ends the pause if memory and unsent answers allow it: dispatches the held calls and reads again.
+  void resume_reading();
   bool paused() const { return paused_; }
-  // Its held calls are answered without being served: it reads nothing, or memory is short.
+  // Refuses the held calls, for a client that reads nothing or while memory is short.
   void refuse_held_calls();
-  void close_if_peer_disconnected();  // of one that is paused: its close may not be read
-  // Reads what lies there; true if that is nothing. False of one that is paused: what it said is not known.
+  // For paused clients, whose close may lie behind bytes that are not read.
+  void close_if_peer_disconnected();
+  // Reads what has arrived; true if that is nothing. False if paused: what has arrived is not known then.
   bool confirm_quiet();
   bool idle() const { return output_.empty() && !frame_reader_.inside() && held_calls_.empty(); }
-  bool has_sent_message() const { return has_sent_message_; }  // a whole message has come
+  bool has_sent_message() const { return has_sent_message_; }  // at least one whole message was read
+  // Monotonic time at which the last byte was read or written.
   TimeUs last_activity_at() const { return last_activity_at_; }
-  bool has_nothing_in_transit(TimeUs now) const;  // none of its bytes is on the way
+  // The connection has been quiet for long enough that none of its bytes can be on the way.
+  bool has_nothing_in_transit(TimeUs now) const;
   std::size_t unsent_bytes() const { return output_.size(); }
-  // Told to the owner at once; where the other side may not know yet, the descriptor lingers.
+  // Reports the end to the owner at once. Where the client may not know of it yet, the socket lingers.
   void close(core::ConnectionEnd end);
-  // Reads nothing more, and closes once every request that was read has its answer and it is written.
+  // Stops reading, and closes once each request that was read has its answer and that is written.
   void close_when_answered(core::ConnectionEnd end);
-  // Closes it once it rests or has the answers that are owed; with `force` it rests now.
+  // Part of a shutdown: reads once more, then closes the connection if it is idle. With `force` it closes as
+  // soon as its requests are answered.
   void shut_down(TimeUs now, bool force);
-  // Requests that were read and neither answered nor given up by the client.
+  // Requests that were read and neither answered nor aborted by the client.
   std::size_t unanswered_requests() const { return unanswered_.size() + held_calls_.size(); }
+  // Closed for the owner; the socket is open until the client has closed its side.
   bool lingers() const { return lingering_ && channel_.is_open(); }
   void end_lingering() { channel_.close(); }
 
@@ -96,24 +108,24 @@
   std::function<bool()> is_ready_;
   std::function<void(core::ClientId, core::ConnectionEnd)> on_closed_;
   thrift::FrameReader frame_reader_;
-  // Of one that is paused: what it asked since, in its order. Aborts do not wait here, and what comes when no
-  // more may be held is refused.
+  // The calls that a paused client has sent since, in their order. Aborts are not held, and calls beyond the
+  // bounds are refused.
   std::deque<thrift::FrontCall> held_calls_;
   std::size_t held_bytes_ = 0;
   BufferChain output_;
-  TimeUs last_activity_at_ = 0;                     // the last byte in or out
-  TimeUs frame_started_at_ = 0;                     // or the connection, before its first frame
-  std::size_t counted_bytes_ = 0;                   // of `totals_`
-  int invalid_requests_ = 0;                        // requests that could not be taken
-  std::multiset<std::int32_t> unanswered_;          // by their sequence numbers
-  std::optional<core::ConnectionEnd> closing_end_;  // once nothing is owed
-  // In a shutdown: what still comes is refused, and it is closed once nothing is owed.
+  TimeUs last_activity_at_ = 0;                     // monotonic time of the last byte read or written
+  TimeUs frame_started_at_ = 0;                     // before the first frame: start of the connection
+  std::size_t counted_bytes_ = 0;                   // this connection's part of `totals_.buffered_bytes`
+  int invalid_requests_ = 0;                        // requests that could not be accepted
+  std::multiset<std::int32_t> unanswered_;          // sequence numbers of requests without an answer
+  std::optional<core::ConnectionEnd> closing_end_;  // if set: closes with this end once all are answered
+  // In a shutdown: new requests are refused, and the connection closes once all are answered.
   bool draining_ = false;
   bool has_sent_message_ = false;
   bool paused_ = false;
-  bool catching_up_ = false;         // reads what waited while it was paused
-  bool lingering_ = false;           // closed for its owner; what still comes is thrown away
-  std::size_t discarded_bytes_ = 0;  // bytes
+  bool catching_up_ = false;         // in catch_up(): reads what arrived during the pause
+  bool lingering_ = false;           // closed for its owner; what still arrives is discarded
+  std::size_t discarded_bytes_ = 0;  // while lingering
 };
 
 }  // namespace orchidgw::net
--- a/src/net/context.h
+++ b/src/net/context.h
@@ -1,4 +1,4 @@
-// What all parts of the net share: the loop, the buffers, the counters, the log, and where events go.
+// What all parts of net/ share: event loop, buffers, counters, log, and the sink for events.
 #pragma once
 
 #include <functional>
@@ -19,13 +19,14 @@
   BufferPool& pool;
   metrics::Counters& counters;
   log::Logger& log;
-  std::function<void(core::Event)> post;  // acted on at the start of the next turn
-  std::function<bool()> crowded;          // no memory for anything new: stop reading and accepting
-  // Asked in the moment in which the first byte of a start is to go out.
+  std::function<void(core::Event)> post;  // queues an event for the next turn
+  std::function<bool()> crowded;          // no memory for new work: stop reading and accepting
+  // Called immediately before the first byte of a query is sent to an engine; anything but Denial::kNone
+  // forbids sending it.
   std::function<Denial(core::CallId)> start_denied;
-  // Objects that closed themselves inside a callback of theirs; emptied between turns.
+  // Objects that closed themselves inside one of their own callbacks; destroyed between turns.
   std::vector<std::shared_ptr<void>> closed;
-  // How long this process did not attend to its sockets so far (`Attention`).
+  // For how long (us) the event loop has been stalled so far (`StallTracker`).
   TimeUs lost = 0;
 };
 
--- a/src/net/event_queue.cpp
+++ b/src/net/event_queue.cpp
@@ -13,7 +13,7 @@
   return request ? request->statement.size() : 0;
 }
 
-// What two list changes come to, one after the other.
+// Merges `next` into `merged`, the list change before it.
 void merge_list_change(core::EnginesChanged& merged, core::EnginesChanged&& next) {
   if (next.kind != ListKind::kDelta) {
     merged = std::move(next);
@@ -40,8 +40,8 @@
   return outcomes_;
 }
 
-// Guards against requests that outlive their client: departures go in first, and a request that was read
-// before one and acted on after it would run for nobody.
+// Guards against requests that outlive their client: disconnects and aborts are handled first, so a request
+// that was read before one would be acted on after it and run for nobody.
 void EventQueue::remove_requests(const core::Event& cancellation) {
   const auto is_cancelled = [&cancellation](const PostedEvent& posted) {
     const auto& request = std::get<core::RequestArrived>(posted.event);
@@ -58,8 +58,8 @@
 void EventQueue::push(core::Event event, TimeUs at) {
   if (&queue_for(event) == &cancellations_) remove_requests(event);
   Queue& queue = queue_for(event);
-  // Guards against sends in between, by a list that the next event in line has already overtaken: an engine
-  // that joined and drained in one answer of the change log got what was held.
+  // Guards against sends between two list changes, based on a list that the next one supersedes: an engine
+  // that joined and drained in one answer of the change log was sent the waiting queries.
   if (&queue == &list_changes_ && !queue.empty())
     return merge_list_change(std::get<core::EnginesChanged>(queue.back().event),
                              std::get<core::EnginesChanged>(std::move(event)));
@@ -76,8 +76,8 @@
 
 std::optional<PostedEvent> EventQueue::next_news() {
   if (auto change = pop_front_of(list_changes_)) return change;
-  // Guards against one more attempt for a client whose close or abort was read beside the end of the last
-  // one.
+  // Guards against one more attempt for a client whose disconnect or abort was read together with the end of
+  // the last attempt.
   if (auto cancellation = pop_front_of(cancellations_)) return cancellation;
   return pop_front_of(outcomes_);
 }
--- a/src/net/event_queue.h
+++ b/src/net/event_queue.h
@@ -1,6 +1,6 @@
-// What was read and not yet acted on, in the order in which it goes in: list changes (as one), departures of
-// clients, outcomes of calls; requests come after all of these. Guards against sends to an engine whose drain
-// lay ready, and for a client that has gone.
+// Events that were read and not yet acted on, in the order in which the core gets them: engine list changes
+// (merged into one), disconnects and aborts of clients, outcomes of calls; requests come after all of these.
+// Guards against sends to an engine whose drain was already read, and for a client that has gone.
 #pragma once
 
 #include <deque>
@@ -13,16 +13,16 @@
 
 struct PostedEvent {
   core::Event event;
-  TimeUs at = 0;  // when it was read
+  TimeUs at = 0;  // monotonic time at which it was read
 };
 
 class EventQueue {
  public:
   void push(core::Event event, TimeUs at);
-  std::optional<PostedEvent> next_news();  // all but requests
+  std::optional<PostedEvent> next_news();  // any event but a request
   std::optional<PostedEvent> next_request();
   bool empty() const;
-  std::size_t statement_bytes() const { return statement_bytes_; }  // of the requests in line
+  std::size_t statement_bytes() const { return statement_bytes_; }  // of the queued requests
 
  private:
   using Queue = std::deque<PostedEvent>;
--- a/src/net/front_door.cpp
+++ b/src/net/front_door.cpp
@@ -12,10 +12,10 @@
 
 constexpr TimeUs kSweepInterval = 100'000;
 constexpr TimeUs kShutdownSweepInterval = 10'000;
-constexpr TimeUs kDisconnectCheckInterval =
-    20'000;  // for paused clients that left: an attempt after it is soon a break
-constexpr TimeUs kLingerTimeout = 1'000'000;    // a client that was told of the end ends its side meanwhile
-constexpr std::size_t kMaxExtraLingering = 16;  // descriptors: so many beside those of the clients' part
+// For paused clients that have disconnected: an attempt started after the disconnect soon is a violation.
+constexpr TimeUs kDisconnectCheckInterval = 20'000;
+constexpr TimeUs kLingerTimeout = 1'000'000;    // within it a client closes its side of the connection
+constexpr std::size_t kMaxExtraLingering = 16;  // descriptors in addition to those for connected clients
 
 }  // namespace
 
@@ -53,8 +53,9 @@
   return false;
 }
 
-// Guards against silent connections by the hundred: with all places taken, a newcomer gets the place of one
-// that never spoke, else of the one idle for longest. Nobody with an open request is put out.
+// Guards against hundreds of silent connections: at the limit, a connection that never sent a message is
+// closed for a new one, else the one that has been idle for longest. Clients with an open request are never
+// evicted.
 bool FrontDoor::evict_idle_client() {
   const TimeUs now = monotonic_now();
   std::shared_ptr<ClientConnection> candidate;
@@ -67,12 +68,14 @@
     };
     if (!candidate || rank(*client) < rank(*candidate)) candidate = client;
   }
-  // What it said in this moment is read: then it keeps its place, and who comes waits for the next look.
+  // What has just arrived from it is read: then it is not evicted, and the new connection waits for the next
+  // attempt.
   if (candidate && candidate->confirm_quiet()) candidate->close(core::ConnectionEnd::kMadeRoom);
   return clients_.size() < limits_.clients;
 }
 
-// Guards against running out of descriptors or buffers: who is not accepted waits in the system's line.
+// Guards against running out of descriptors or buffers: connections that are not accepted wait in the
+// kernel's accept queue.
 void FrontDoor::pause_accepting() {
   if (paused_) return;
   ++context_.counters.accepts_paused;
@@ -98,19 +101,20 @@
     context_.closed.push_back(it->second);
   }
   clients_.erase(it);
-  // Guards against running out of descriptors: the oldest goes without having ended its side.
+  // Guards against running out of descriptors: the oldest is closed although the client has not closed its
+  // side.
   if (clients_.size() + lingering_.size() > limits_.clients + kMaxExtraLingering) end_oldest_lingering();
   context_.post(core::ClientClosed{id});
   resume_accepting();
 }
 
-// Guards against clients that ask for much and read nothing: answers that they leave lying may take all
-// memory. A client with a request open is spared until that has its answer, by its deadline at the latest: a
-// close would leave the request without one. What memory takes meanwhile is bounded by the open requests, as
-// nothing new is taken on while it is short.
+// Guards against clients that request much and read nothing: their unread answers could use all memory. A
+// client with an open request is not closed until the request has its answer, by its deadline at the latest:
+// closing it would leave the request without one. The memory used meanwhile is bounded by the open requests,
+// as no new ones are accepted while memory is short.
 void FrontDoor::reclaim_unread_answers() {
   if (!context_.pool.over_limit()) return;
-  const auto snapshot = clients_;  // some close themselves meanwhile
+  const auto snapshot = clients_;  // clients that close themselves are removed from clients_ during the loop
   for (const auto& [id, client] : snapshot)
     if (client->unsent_bytes() > 0) client->refuse_held_calls();
   while (context_.pool.over_limit()) {
@@ -146,12 +150,12 @@
                                     : sweep;
 }
 
-// Guards against attempts for clients that left while they were not read, for memory or for unsent answers:
-// nothing tells of a close that lies behind what is unread.
+// Guards against attempts for clients that disconnected while nothing was read from them, because of memory
+// or of unsent answers: the reactor does not report a close that comes after unread bytes.
 void FrontDoor::close_disconnected_clients(TimeUs now) {
   if (totals_.paused_clients == 0 || now - last_disconnect_check_at_ < kDisconnectCheckInterval) return;
   last_disconnect_check_at_ = now;
-  const auto snapshot = clients_;  // some close themselves meanwhile
+  const auto snapshot = clients_;  // clients that close themselves are removed from clients_ during the loop
   for (const auto& [id, client] : snapshot) client->close_if_peer_disconnected();
 }
 
@@ -167,7 +171,7 @@
 }
 
 void FrontDoor::sweep(TimeUs now) {
-  const auto snapshot = clients_;  // some close themselves meanwhile
+  const auto snapshot = clients_;  // clients that close themselves are removed from clients_ during the loop
   for (const auto& [id, client] : snapshot) {
     if (client->paused()) client->resume_reading();
     client->sweep(now, has_open_requests(id));
@@ -183,7 +187,8 @@
 
 TimeUs FrontDoor::sweep_interval() const { return shutdown_ ? kShutdownSweepInterval : kSweepInterval; }
 
-// Guards against a stop that throws away who waits to be accepted: the system counts these as connected.
+// Guards against a shutdown that drops connections waiting to be accepted: for their clients they are
+// connected already.
 bool FrontDoor::stop_listening(bool force) {
   if (!accept_all() && !force) return false;
   listener_.close();
--- a/src/net/front_door.h
+++ b/src/net/front_door.h
@@ -1,4 +1,5 @@
-// The listener and all client connections, within their part of the descriptors.
+// The listening socket and all client connections. Bounds their number, so that they stay within their part
+// of the process's file descriptors.
 #pragma once
 
 #include <deque>
@@ -16,29 +17,37 @@
 namespace orchidgw::net {
 
 struct FrontLimits {
-  std::size_t clients = 1;      // at most
-  std::size_t frame_bytes = 0;  // that all unfinished frames may hold together
+  std::size_t clients = 1;      // maximum number of connected clients
+  std::size_t frame_bytes = 0;  // maximum bytes of the unfinished frames and held calls of all clients
 };
 
 class FrontDoor final : public ChannelHandler {
  public:
+  // Takes ownership of `listener`, a listening, non-blocking socket. `context` and `reducer` must outlive
+  // this object.
   FrontDoor(Context& context, int listener, FrontLimits limits, const core::Reducer& reducer);
 
+  // Sends an answer of the reducer to its client; does nothing if that client has disconnected.
   template <typename Answer>
   void answer(Answer& answer) {
     const auto it = clients_.find(answer.client);
     if (it != clients_.end()) it->second->answer(answer);
   }
 
+  // Periodic work, to be called once in each turn of the event loop with the monotonic time: frees memory,
+  // ends lingering connections, detects disconnected clients and closes stalled ones.
   void between_turns(TimeUs now);
+  // Monotonic time at which `between_turns` has to run again at the latest.
   TimeUs next_sweep() const;
-  // From here on clients are closed by that schedule.
+  // From now on clients are closed according to `schedule`. Further calls do nothing.
   void begin_shutdown(const ShutdownSchedule& schedule);
-  // Who waits to be accepted is let in before; false while there is no room for all of them, and `force` is
-  // not said.
+  // Accepts the connections that are pending and closes the listening socket. If there is no capacity for all
+  // of them, it stays open and the result is false; with `force` it is closed in any case.
   bool stop_listening(bool force);
+  // No client is connected and no connection lingers.
   bool empty() const { return clients_.empty() && lingering_.empty(); }
   std::size_t lingering() const { return lingering_.size(); }
+  // Closes all clients and lingering connections at once.
   void close_all();
 
   void on_readable() override;
@@ -48,9 +57,9 @@
 
  private:
   void on_client_closed(core::ClientId id, core::ConnectionEnd end);
-  bool accept_all();  // false: some may still wait, there is no room for them
-  bool evict_idle_client();
-  bool pause_at_capacity();
+  bool accept_all();         // false: connections may still be pending, there is no capacity for them
+  bool evict_idle_client();  // true if a client can be accepted now
+  bool pause_at_capacity();  // always false: the result of accept_all()
   void close_disconnected_clients(TimeUs now);
   void end_lingering(TimeUs now);
   void end_oldest_lingering();
@@ -66,17 +75,17 @@
   Channel listener_;
   FrontLimits limits_;
   ClientTotals totals_;
-  const core::Reducer& reducer_;  // looked at only: readiness, open requests
+  const core::Reducer& reducer_;  // only queried: readiness, open requests
   std::map<core::ClientId, std::shared_ptr<ClientConnection>> clients_;
   struct Lingering {
     std::shared_ptr<ClientConnection> client;
-    TimeUs until = 0;
+    TimeUs until = 0;  // monotonic time
   };
-  std::deque<Lingering> lingering_;  // the oldest first
+  std::deque<Lingering> lingering_;  // oldest first
   core::ClientId last_id_ = 0;
   TimeUs last_sweep_at_ = 0;
   TimeUs last_disconnect_check_at_ = 0;
-  bool paused_ = false;
+  bool paused_ = false;  // no connections are accepted
   std::optional<ShutdownSchedule> shutdown_;
 };
 
--- a/src/net/reactor.cpp
+++ b/src/net/reactor.cpp
@@ -7,8 +7,8 @@
 
 }  // namespace
 
-// The poll counts whole milliseconds and cuts off the rest: rounded up here, lest it spin through the last
-// one.
+// The poll truncates its time-out to whole milliseconds. It is rounded up here, so that the loop does not
+// spin through the last millisecond.
 void Reactor::run_turn() {
   const TimeUs wait = turn_();
   const TimeUs rounded = (wait + kUsPerMs - 1) / kUsPerMs * kUsPerMs;
