--- a/src/net/admin_socket.cpp
+++ b/src/net/admin_socket.cpp
@@ -20,7 +20,7 @@
 
 constexpr std::size_t kMaxConnections = 4;
 constexpr int kListenBacklog = 8;
-constexpr TimeUs kSilenceTimeout = 2'000'000;
+constexpr TimeUs kLineTimeout = 2'000'000;
 
 [[noreturn]] void throw_error(const std::string& path, const char* why) {
   throw std::runtime_error(path + ": " + why);
@@ -30,7 +30,7 @@
   sockaddr_un socket_address{};
   socket_address.sun_family = AF_UNIX;
   if (path.empty() || path.size() >= sizeof socket_address.sun_path)
-    throw_error(path, "a path of 1 to 107 bytes is wanted");
+    throw_error(path, "the path must have 1 to 107 bytes");
   std::memcpy(socket_address.sun_path, path.data(), path.size());
   return socket_address;
 }
@@ -47,11 +47,11 @@
   return -1;
 }
 
-// Guards against taking the socket of a program that runs, or a file that is none.
+// Guards against replacing the socket of a running process, or a file that is not a socket.
 void remove_stale_socket(const std::string& path) {
   struct stat info {};
   if (::lstat(path.c_str(), &info) != 0) return;
-  if (!S_ISSOCK(info.st_mode)) throw_error(path, "is there, and no socket");
+  if (!S_ISSOCK(info.st_mode)) throw_error(path, "exists and is not a socket");
   const int fd = connect_to(path);
   if (fd >= 0) {
     ::close(fd);
@@ -67,7 +67,7 @@
   remove_stale_socket(path);
   const int fd = ::socket(AF_UNIX, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
   if (fd < 0) throw SystemCallError(SystemCall::kSocket, errno, path);
-  const mode_t previous_mask = ::umask(0177);  // its owner alone, from the first moment
+  const mode_t previous_mask = ::umask(0177);  // from the start only the owner may open it
   const bool bound =
       ::bind(fd, reinterpret_cast<const sockaddr*>(&socket_address), sizeof socket_address) == 0;
   const int bind_error = errno;
@@ -89,7 +89,7 @@
     channel_.want_read(true);
   }
 
-  bool is_silent(TimeUs now) const { return now - accepted_at_ > kSilenceTimeout; }
+  bool has_timed_out(TimeUs now) const { return now - accepted_at_ > kLineTimeout; }
   void close() { channel_.close(); }
 
   void on_readable() override {
@@ -102,9 +102,9 @@
     if (end == std::string::npos && line_.size() < admin::kLineMost) return;
     const std::string answer =
         end == std::string::npos ? "error: the line is too long\n" : owner_.answer_(line_.substr(0, end));
-    // A few hundred bytes on a new connection fit its buffer; who would not take them is let go.
+    // A few hundred bytes fit the send buffer of a new connection; if they do not, it is closed unanswered.
     if (::send(channel_.fd(), answer.data(), answer.size(), MSG_NOSIGNAL | MSG_DONTWAIT) < 0)
-      owner_.context_.log.write(log::Level::kWarn, "administration: an answer was not taken");
+      owner_.context_.log.write(log::Level::kWarn, "administration: an answer could not be sent");
     owner_.remove(this);
   }
   void on_writable() override {}
@@ -142,7 +142,7 @@
 
 void AdminSocket::check(TimeUs now) {
   for (std::size_t i = connections_.size(); i-- > 0;)
-    if (connections_[i]->is_silent(now)) remove(connections_[i].get());
+    if (connections_[i]->has_timed_out(now)) remove(connections_[i].get());
 }
 
 void AdminSocket::remove(Connection* connection) {
@@ -170,7 +170,7 @@
       answer.append(bytes, static_cast<std::size_t>(n));
   }
   ::close(fd);
-  if (answer.empty()) throw_error(path, "no answer came");
+  if (answer.empty()) throw_error(path, "no answer was received");
   return answer;
 }
 
--- a/src/net/admin_socket.h
+++ b/src/net/admin_socket.h
@@ -1,5 +1,6 @@
-// The administration socket: a Unix socket for the operators of installations that allow a further listener;
-// off unless a path is given. Only its owner can open it. At most four connections, a line each.
+// The administration socket: a Unix socket for operators, in installations that allow another listener; off
+// unless a path is given. Only the user that runs the process can open it. Accepts at most four connections
+// at a time and one command line on each.
 #pragma once
 
 #include <functional>
@@ -14,13 +15,16 @@
 
 class AdminSocket final : public ChannelHandler {
  public:
+  // Gives the answer to a command line, which comes without its line end.
   using Answer = std::function<std::string(const std::string& line)>;
 
-  // Throws std::runtime_error naming the path and the reason. One that a dead process left there is replaced.
+  // Replaces a socket that an ended process left at the path. Throws std::runtime_error with the path and the
+  // reason.
   AdminSocket(Context& context, const std::string& path, Answer answer);
   ~AdminSocket() override;
 
-  void check(TimeUs now);  // closes who says nothing for long
+  // Closes connections that have not sent their line in time. `now` is monotonic time.
+  void check(TimeUs now);
 
   void on_readable() override;
   void on_writable() override {}
@@ -38,7 +42,8 @@
   std::vector<std::shared_ptr<Connection>> connections_;
 };
 
-// For the commands: sends a line to a running program and gives its answer. Throws std::runtime_error.
+// For command-line tools: sends a line, with its line end, to a running process and returns the answer.
+// Blocks for at most 5 s at each read. Throws std::runtime_error.
 std::string ask_admin(const std::string& path, const std::string& line);
 
 }  // namespace orchidgw::net
--- a/src/net/buffer_pool.h
+++ b/src/net/buffer_pool.h
@@ -66,7 +66,7 @@
   void append(std::string_view bytes);
   void append(BufferChain&& other);  // moves the other's buffers here, without a copy
   std::span<char> room();            // free space at the end, at least one byte
-  void commit(std::size_t bytes);    // this many bytes were written into room()
+  void commit(std::size_t bytes);    // this many bytes were written into writable_span()
 
   std::string_view front() const;   // the first contiguous bytes; empty if the chain is
   void consume(std::size_t bytes);  // removes them from the front
@@ -84,7 +84,7 @@
   std::size_t size_ = 0;
 };
 
-// A page of result rows on its way through the core, which does not look into it.
+// A page of result rows as it passes through the core unread.
 class ChainPayload final : public core::Payload {
  public:
   explicit ChainPayload(BufferChain chain) : chain_(std::move(chain)) {}
--- a/src/net/client_connection.h
+++ b/src/net/client_connection.h
@@ -29,8 +29,9 @@
 // refused, its aborts are still acted on.
 class ClientConnection final : public ChannelHandler {
  public:
-  // Takes ownership of `fd`, a connected non-blocking socket. `is_ready` gives the answer to pings;
-  // `on_closed` is called once, when the connection closes, and may drop the owner's reference.
+  // Takes ownership of `fd`, a connected non-blocking socket. `is_ready` gives the answer to pings.
+  // `on_closed` is called once, when the connection closes; the owner must keep this object until the next
+  // turn.
   ClientConnection(Context& context, core::ClientId id, int fd, ClientTotals& totals,
                    std::function<bool()> is_ready,
                    std::function<void(core::ClientId, core::ConnectionEnd)> on_closed);
--- a/src/net/clock.h
+++ b/src/net/clock.h
@@ -9,8 +9,8 @@
 
 namespace orchidgw::net {
 
-// Microseconds since the machine's start, its sleep included; nobody can set it. The one clock for deadlines,
-// windows, leases, timers and every other span.
+// Microseconds since the machine booted, including suspended time; nobody can set this clock. The only clock
+// for deadlines, windows, leases, timers and all other time spans.
 inline TimeUs monotonic_now() {
   constexpr TimeUs kUsPerSecond = 1'000'000;
   constexpr TimeUs kNsPerUs = 1000;
@@ -19,11 +19,11 @@
   return static_cast<TimeUs>(at.tv_sec) * kUsPerSecond + at.tv_nsec / kNsPerUs;
 }
 
-// For what is published in wall-clock time and for nothing else: it may be stepped by any amount at any
+// Only for values that are published as wall-clock time: this clock can be stepped by any amount at any
 // moment.
 inline WallTime wall_now() {
-  const auto since = std::chrono::system_clock::now().time_since_epoch();
-  return {std::chrono::duration_cast<std::chrono::microseconds>(since).count()};
+  const auto since_epoch = std::chrono::system_clock::now().time_since_epoch();
+  return {std::chrono::duration_cast<std::chrono::microseconds>(since_epoch).count()};
 }
 
 }  // namespace orchidgw::net
--- a/src/net/loop_ticker.cpp
+++ b/src/net/loop_ticker.cpp
@@ -13,6 +13,7 @@
 
 constexpr long kPeriodNs = 100'000'000;
 
+// The descriptor of a running timer, or -1 with errno set.
 int open_timer() {
   const int fd = timerfd_create(CLOCK_MONOTONIC, TFD_NONBLOCK | TFD_CLOEXEC);
   if (fd < 0) return -1;
@@ -39,7 +40,7 @@
   channel_->want_read(true);
 }
 
-// The turn has been taken by then: the reactor takes one whenever its wait is over.
+// Only resets the timer's descriptor: the reactor runs a turn whenever its wait ends.
 void LoopTicker::on_readable() {
   std::uint64_t periods = 0;
   if (::read(channel_->fd(), &periods, sizeof periods) == 0) close();
--- a/src/net/loop_ticker.h
+++ b/src/net/loop_ticker.h
@@ -1,4 +1,4 @@
-// Wakes the loop at a steady pace of the monotonic clock, whatever its own wait is counted by.
+// Wakes the event loop periodically by the monotonic clock, whichever clock its own wait depends on.
 #pragma once
 
 #include <memory>
@@ -8,12 +8,13 @@
 
 namespace orchidgw::net {
 
-// Guards against a loop that sleeps on: where a signal interrupts its wait (SIGCONT does), POCO takes what is
-// left of it from the wall clock, and a step back in that moment prolongs the wait by as much.
+// Guards against a loop that sleeps too long: when a signal (for example SIGCONT) interrupts its wait, POCO
+// computes the remaining time from the wall clock, and if that is stepped back meanwhile, the wait is
+// prolonged by as much.
 class LoopTicker final : public ChannelHandler {
  public:
-  // Throws SystemCallError where the system lacks a descriptor for a moment; where it has no such timers, the
-  // loop goes on without.
+  // Throws SystemCallError if the timer cannot be had for the moment, for example for lack of descriptors. If
+  // the system has no such timers, the loop runs without.
   explicit LoopTicker(Reactor& reactor);
 
   void close();
--- a/src/net/signals.cpp
+++ b/src/net/signals.cpp
@@ -18,7 +18,7 @@
   sigaddset(&set, SIGTERM);
   sigaddset(&set, SIGINT);
   sigaddset(&set, SIGUSR1);
-  sigaddset(&set, SIGHUP);  // guards against a reload that ends the program
+  sigaddset(&set, SIGHUP);  // guards against a reload that ends the process
   return set;
 }
 
--- a/src/net/signals.h
+++ b/src/net/signals.h
@@ -1,4 +1,4 @@
-// Signals as events of the loop: blocked for the process and read from a descriptor.
+// Signals as events of the loop: blocked for the process and read from a signalfd.
 #pragma once
 
 #include <functional>
@@ -7,12 +7,14 @@
 
 namespace orchidgw::net {
 
-// From here on signals wait until `Signals` reads them. Guards against one that comes while the program
-// starts: a reload ended it, or was thrown away once the old configuration had been read.
+// Blocks the signals that `Signals` reads; they stay pending until it does. Also ignores SIGPIPE. Guards
+// against signals during the start of the program: a SIGHUP for a reload ended it, or was lost after the old
+// configuration had been read.
 void hold_signals();
 
 class Signals final : public ChannelHandler {
  public:
+  // Calls `on_signal` in the loop's thread with the number of each signal. Throws SystemCallError.
   Signals(Reactor& reactor, std::function<void(int)> on_signal);
 
   void on_readable() override;
--- a/src/net/sockets.cpp
+++ b/src/net/sockets.cpp
@@ -81,10 +81,10 @@
 
 bool shut_down_writing(int fd) { return ::shutdown(fd, SHUT_WR) == 0; }
 
-// Guards against a client that reads the last answer and writes again before the end of the connection
-// reaches it: held back until the end of writing, both go in one segment.
-Moved write_some(int fd, std::string_view bytes, WritePosition end) {
-  const int flags = MSG_NOSIGNAL | (end == WritePosition::kLast ? MSG_MORE : 0);
+// Guards against a client that reads the last answer and sends again before the end of the connection reaches
+// it: the last bytes are held back until writing is shut down, so that both go in one segment.
+Moved write_some(int fd, std::string_view bytes, WritePosition position) {
+  const int flags = MSG_NOSIGNAL | (position == WritePosition::kLast ? MSG_MORE : 0);
   ssize_t n = 0;
   do {
     n = ::send(fd, bytes.data(), bytes.size(), flags);
@@ -93,9 +93,9 @@
   return to_io_result(n);
 }
 
-bool write_chain(int fd, BufferChain& chain, std::uint64_t& written, WritePosition end) {
+bool write_chain(int fd, BufferChain& chain, std::uint64_t& written, WritePosition position) {
   while (!chain.empty()) {
-    const Moved moved = write_some(fd, chain.front(), end);
+    const Moved moved = write_some(fd, chain.front(), position);
     if (moved.kind != Moved::Kind::kBytes) return moved.kind == Moved::Kind::kLater;
     written += moved.bytes;
     chain.consume(moved.bytes);
--- a/src/net/sockets.h
+++ b/src/net/sockets.h
@@ -1,4 +1,4 @@
-// The system's socket calls, without blocking and without exceptions.
+// The system's socket calls, non-blocking. Only those that set up a listener throw.
 #pragma once
 
 #include <span>
@@ -11,52 +11,54 @@
 
 namespace orchidgw::net {
 
-// The result of a read or write: bytes moved, or why none were.
+// The result of a read or write: the number of bytes transferred, or why there were none.
 struct Moved {
+  // kLater: the call would block. kClosed: the peer has closed its side. kReset: the connection failed.
   enum class Kind { kBytes, kLater, kClosed, kReset };
   Kind kind = Kind::kLater;
   std::size_t bytes = 0;
 };
 
 Moved read_some(int fd, std::span<char> buffer);
-enum class WritePosition {
-  kMoreMayFollow,
-  kLast
-};  // of the stream: its end is told together with its last bytes
-Moved write_some(int fd, std::string_view bytes, WritePosition end = WritePosition::kMoreMayFollow);
+// Whether bytes are the last of the stream: those are held back until shut_down_writing().
+enum class WritePosition { kMoreMayFollow, kLast };
+Moved write_some(int fd, std::string_view bytes, WritePosition position = WritePosition::kMoreMayFollow);
 
-// The other side has closed or reset the connection, whatever lies unread before that.
+// The peer has closed or reset the connection, even if bytes that it sent before are still unread.
 bool peer_has_closed(int fd);
-// Nothing more will be written, and the other side is told. False if the connection is gone.
+// Tells the peer that nothing more will be written. False if the connection is gone.
 bool shut_down_writing(int fd);
 
-// Writes what the chain holds, as far as the socket takes it. False if the connection is gone.
+// Writes the chain's bytes as far as the socket takes them, removes these from the chain and adds their
+// number to `written`. False if the connection is gone.
 bool write_chain(int fd, BufferChain& chain, std::uint64_t& written,
-                 WritePosition end = WritePosition::kMoreMayFollow);
+                 WritePosition position = WritePosition::kMoreMayFollow);
 
-// A socket bound to that address. Throws SystemCallError.
+// A TCP socket bound to that address. Throws SystemCallError, which names the address.
 Descriptor bind_at(const core::Address& address);
-// Clients can connect from then on. Throws SystemCallError, which names the address.
+// From then on clients can connect. Throws SystemCallError, which names the address.
 void listen_on(int fd, const core::Address& address);
-// Both at once.
+// bind_at() and listen_on().
 Descriptor listen_at(const core::Address& address);
 
-// Who waits next, or why nobody was accepted.
+// The accepted connection, or why there is none.
 struct Accepted {
+  // kNoResources: descriptors or memory are lacking for the moment; connections may be pending.
   enum class Kind { kClient, kNonePending, kNoResources };
   Kind kind = Kind::kNonePending;
-  int fd = -1;
+  int fd = -1;  // owned by the caller
 };
 Accepted accept_one(int listener);
 
-// Begins a connection: a descriptor, or -1 with its end.
+// A connection that is being established: its descriptor, owned by the caller, or -1 with the reason in
+// `end`.
 struct Connecting {
   int fd = -1;
   core::ConnectionEnd end = core::ConnectionEnd::kUnreachable;
 };
 Connecting begin_connect(const core::Address& address);
 
-// How a connection that was begun came out: true once it is up; else `end` says why not.
+// The result of begin_connect(), once the descriptor is writable: true if connected, else `end` says why not.
 bool connect_came_up(int fd, core::ConnectionEnd& end);
 
 }  // namespace orchidgw::net
--- a/src/net/start_retry.cpp
+++ b/src/net/start_retry.cpp
@@ -21,10 +21,10 @@
 
 constexpr TimeUs kFirstPause = 10'000;
 constexpr TimeUs kMaxPause = 500'000;
-constexpr TimeUs kRetryTimeout = 8'000'000;    // a restart is to be ready within 10 s
-constexpr TimeUs kSignalPollInterval = 5'000;  // for a signal, within a pause
+constexpr TimeUs kRetryTimeout = 8'000'000;    // a restarted process has to be ready within 10 s
+constexpr TimeUs kSignalPollInterval = 5'000;  // during a pause
 
-// A SIGTERM or SIGINT is held back.
+// A SIGTERM or SIGINT is pending.
 bool stop_requested() {
   sigset_t pending;
   sigemptyset(&pending);
@@ -32,7 +32,7 @@
   return sigismember(&pending, SIGTERM) == 1 || sigismember(&pending, SIGINT) == 1;
 }
 
-// True if the process is to end, now or within the pause.
+// Waits for the pause; true, without waiting on, once a SIGTERM or SIGINT is pending.
 bool stop_requested_within(TimeUs pause) {
   const TimeUs until = monotonic_now() + pause;
   while (!stop_requested()) {
@@ -46,7 +46,7 @@
   return std::string(last.what()) + " (tried " + std::to_string(tries) + (tries == 1 ? " time)" : " times)");
 }
 
-// The call that ended that try; none: it came through. Other exceptions pass.
+// The system call that failed the try; nothing if it succeeded. Other exceptions are passed on.
 std::optional<SystemCallError> try_start(const std::function<void()>& start) {
   try {
     start();
--- a/src/net/start_retry.h
+++ b/src/net/start_retry.h
@@ -1,4 +1,4 @@
-// A start is tried again while a call fails for want of something that others give back.
+// Retries the start of the process while a system call fails for lack of a resource that others will release.
 #pragma once
 
 #include <functional>
@@ -7,10 +7,10 @@
 
 enum class StartResult { kStarted, kStopRequested };
 
-// Calls `start` until it returns, with a growing pause between the tries. Everything that a failed try opened
-// has to be closed when its exception leaves it. Throws std::runtime_error with the call, its error and the
-// count of tries when the time for them is over, and at once what no further try can mend. A SIGTERM or
-// SIGINT that waits ends the tries: signals are held (`hold_signals`).
+// Calls `start` until it returns without an exception, with exponentially growing pauses. A failed try must
+// have closed everything that it opened. Throws std::runtime_error with the system call, its error and the
+// number of tries once the time for them is over, and at once on an error that retrying cannot help. A
+// pending SIGTERM or SIGINT ends the tries: signals must be blocked (`hold_signals`).
 StartResult start_with_retries(const std::function<void()>& start);
 
 }  // namespace orchidgw::net
--- a/src/net/wake.cpp
+++ b/src/net/wake.cpp
@@ -27,7 +27,7 @@
 
 void Wake::ring() {
   const std::uint64_t one = 1;
-  static_cast<void>(!::write(fd_, &one, sizeof one));  // full means that the loop will look anyway
+  static_cast<void>(!::write(fd_, &one, sizeof one));  // if the counter is full, the event is set already
 }
 
 void Wake::heard() {
--- a/src/net/wake.h
+++ b/src/net/wake.h
@@ -1,4 +1,4 @@
-// How a thread beside the loop says that it has something: a descriptor that the reactor watches.
+// Wakes the event loop from another thread: an eventfd that the reactor watches.
 #pragma once
 
 namespace orchidgw::net {
@@ -9,16 +9,17 @@
   ~Wake();
   Wake(const Wake&) = delete;
   Wake& operator=(const Wake&) = delete;
-  // Readable from `ring` until `heard`; owned by the caller. Throws SystemCallError.
+  // A descriptor, owned by the caller, that is readable after `ring` until `heard`. Throws SystemCallError.
   int duplicate() const;
-  void ring();
-  void heard();
+  void ring();   // wakes the loop; for any thread
+  void heard();  // resets the event
 
  private:
   int fd_;
 };
 
-// First in such a thread: signals are the loop's.
+// Blocks all signals in the calling thread, so that only the loop gets them. To be called first in each other
+// thread.
 void leave_signals_to_the_loop();
 
 }  // namespace orchidgw::net
--- a/src/net/wall_clock_watch.h
+++ b/src/net/wall_clock_watch.h
@@ -1,4 +1,4 @@
-// Notices that the wall clock was stepped, for the log and the counters alone: nothing is decided by it.
+// Detects steps of the wall clock, for the log and the counters only: no decision depends on it.
 #pragma once
 
 #include <cstdlib>
@@ -10,7 +10,8 @@
 
 class WallClockWatch {
  public:
-  // By how much (us) the wall clock was stepped since the last call; 0: it went on as the monotonic one did.
+  // By how much (us) the wall clock was stepped since the last call; 0 if it advanced like the monotonic
+  // clock.
   TimeUs step_since_last(WallTime wall, TimeUs monotonic) {
     const TimeUs offset = wall.unix_us - monotonic;
     const TimeUs step = last_offset_ ? offset - *last_offset_ : 0;
@@ -19,7 +20,7 @@
   }
 
  private:
-  static constexpr TimeUs kMinStep = 20'000;  // between two turns no clock is slewed by so much
+  static constexpr TimeUs kMinStep = 20'000;  // a clock is never slewed by so much between two turns
   std::optional<TimeUs> last_offset_;
 };
 
