--- a/src/net/admin_socket.cpp
+++ b/src/net/admin_socket.cpp
@@ -30,7 +30,7 @@
   sockaddr_un socket_address{};
   socket_address.sun_family = AF_UNIX;
   if (path.empty() || path.size() >= sizeof socket_address.sun_path)
-    throw_error(path, "the path must have 1 to 107 bytes");
+    throw_error(path, "a path of 1 to 107 bytes is required");
   std::memcpy(socket_address.sun_path, path.data(), path.size());
   return socket_address;
 }
@@ -104,7 +104,7 @@
         end == std::string::npos ? "error: the line is too long\n" : owner_.answer_(line_.substr(0, end));
     // A few hundred bytes fit the send buffer of a new connection; if they do not, it is closed unanswered.
     if (::send(channel_.fd(), answer.data(), answer.size(), MSG_NOSIGNAL | MSG_DONTWAIT) < 0)
-      owner_.context_.log.write(log::Level::kWarn, "administration: an answer could not be sent");
+      owner_.context_.log.write(log::Level::kWarn, "administration: an answer was not taken");
     owner_.remove(this);
   }
   void on_writable() override {}
--- a/tests/integration/front_door_fixture.h
+++ b/tests/integration/front_door_fixture.h
@@ -1,4 +1,5 @@
-// The front door in this process, its loop turned by the test, and frames as clients write them.
+// A ClientListener in this process, whose event loop the test runs turn by turn, and frames as clients write
+// them.
 #pragma once
 
 #include <Poco/Net/NetException.h>
@@ -21,7 +22,7 @@
 
 namespace orchidgw::integration {
 
-// A frame of the front, as libthrift writes it.
+// A frame of the clients' service, as libthrift writes it.
 template <typename Write>
 std::string frame(Write write) {
   using namespace apache::thrift::transport;
@@ -43,7 +44,7 @@
   });
 }
 
-// Not usable, which is for the reducer to say: here it only has to arrive.
+// A call without arguments. It is invalid, but only the reducer checks that: here it only has to arrive.
 inline std::string invoke(std::int32_t sequence) {
   using namespace apache::thrift::protocol;
   return frame([&](TBinaryProtocol& out) {
@@ -94,7 +95,7 @@
     socket.sendBytes(bytes.data(), static_cast<int>(bytes.size()));
   }
 
-  // Bytes, 0 at the end, -1 for a reset.
+  // The number of bytes read, 0 at the end of the connection, -1 for a reset.
   static int read(Poco::Net::StreamSocket& socket) {
     char buffer[4096];
     try {
@@ -104,7 +105,7 @@
     }
   }
 
-  // One that was accepted and has been answered.
+  // A client that was accepted and whose ping has been answered.
   Poco::Net::StreamSocket client() {
     const auto before = counters.client_bytes_out;
     Poco::Net::StreamSocket socket = connect();
@@ -114,8 +115,8 @@
     return socket;
   }
 
-  // Turns the loop until the condition holds; false after a long time. POCO's loop can't be run again once it
-  // has ended: it has a thread of its own, which stands still inside a turn whenever the test goes on.
+  // Runs the loop until the condition holds; false after 20 s. POCO's loop can't be run again once it has
+  // ended: it has a thread of its own, which waits inside a turn while the test goes on.
   bool run_until(std::function<bool()> done) {
     std::unique_lock lock(mutex);
     const auto last = std::chrono::steady_clock::now() + std::chrono::seconds(20);
@@ -132,7 +133,7 @@
     return in_time;
   }
 
-  // Of the loop's thread.
+  // Called by the loop's thread; returns its longest wait (us).
   TimeUs turn() {
     std::unique_lock lock(mutex);
     context.closed.clear();
@@ -167,7 +168,7 @@
   }
 
   static constexpr TimeUs kSecond = 1'000'000;
-  std::mutex mutex;  // held by whoever acts: the test, or the loop in its turn
+  std::mutex mutex;  // held by the test, or by the loop during a turn
   std::condition_variable changed;
   std::function<bool()> condition;
   bool running = false;
--- a/tests/integration/front_door_memory_test.cpp
+++ b/tests/integration/front_door_memory_test.cpp
@@ -1,4 +1,4 @@
-// What is read of clients, and what is owed to them, while memory is short.
+// What is read from clients, and which answers they get, while memory is short.
 #include <set>
 #include <vector>
 
@@ -9,7 +9,7 @@
 
 class FrontDoorMemory : public FrontDoorTest {
  protected:
-  static constexpr std::int32_t kManyCalls = 2000;  // more than a paused client may have held
+  static constexpr std::int32_t kManyCalls = 2000;  // more than are held for a paused client
   static constexpr std::size_t kLargeAnswerBytes = 16UL * 1024 * 1024;
   static constexpr int kSomeTurns = 50;
 
@@ -44,9 +44,9 @@
   }
 };
 
-// An abort lies behind more bytes than a paused client's calls may hold: it is not read until there is room,
-// and an attempt for its request may begin meanwhile (issue 46, A 3). What is read while a client is paused
-// is bounded on purpose (AClientThatLeavesBehindUnreadBytesIsSeen).
+// Guards against an abort that is not read until the pause ends, because more calls than are held lie before
+// it: an attempt for its request may start meanwhile (issue 46, A 3). What is read from a paused client is
+// bounded on purpose (AClientThatLeavesBehindUnreadBytesIsSeen).
 TEST_F(FrontDoorMemory, AnAbortBehindMoreThanAPausedClientMayHoldIsHeardInTime) {
   constexpr int kTurnsOfTenthSecond = 100;  // of a millisecond each
   open(4);
@@ -61,8 +61,8 @@
   EXPECT_EQ(count<core::RequestAborted>(), 1U);
 }
 
-// Memory is overdrawn by the answers of a client that reads nothing: it is closed with a request that has no
-// answer (issue 46, A 3).
+// Guards against closing a client with an unanswered request, because the answers that it does not read
+// exceed the memory limit (issue 46, A 3).
 TEST_F(FrontDoorMemory, AClientIsNotClosedOverARequestBecauseMemoryIsShort) {
   constexpr std::size_t kMoreThanSocketBuffersHold = 16UL * 1024 * 1024;
   open(4);
@@ -82,7 +82,7 @@
   EXPECT_EQ(counters.violations[static_cast<std::size_t>(Denial::kAnswerOwed)], 0U);
 }
 
-// What may not be held is refused; what is held is served later; each call arrives once.
+// Calls beyond the bound are refused, held calls are served later, and each call arrives once.
 TEST_F(FrontDoorMemory, CallsBeyondWhatAPausedClientMayHoldAreRefusedAndEachArrivesOnce) {
   open(4);
   auto socket = client();
@@ -105,8 +105,8 @@
   EXPECT_EQ(with_reason, refused);
 }
 
-// Nothing was taken, so nothing more is read while the client is paused: the abort of a call that is held is
-// heard before that call is acted on.
+// No call was accepted, so nothing more is read while the client is paused. The abort of a held call is still
+// processed before that call.
 TEST_F(FrontDoorMemory, AnAbortOfAHeldCallBehindUnreadBytesIsHeardBeforeTheCallIsTaken) {
   open(4);
   auto socket = client();
@@ -120,7 +120,7 @@
   EXPECT_EQ(count<core::RequestAborted>(), 0U);
 }
 
-// The client is closed all the same once it owes nobody anything, so memory comes back.
+// The client is closed once all its requests are answered, which frees the memory.
 TEST_F(FrontDoorMemory, AClientThatReadsNothingIsClosedOnceItsRequestsAreAnswered) {
   open(4);
   auto socket = client();
@@ -136,7 +136,7 @@
   EXPECT_FALSE(pool.over_limit());
 }
 
-// Calls that are held would keep a client that reads nothing from being closed for ever: they are refused.
+// Held calls would prevent for ever that a client which reads nothing is closed: they are refused.
 TEST_F(FrontDoorMemory, HeldCallsOfAClientThatReadsNothingAreRefusedWhenMemoryIsShort) {
   open(4);
   auto socket = client();
--- a/tests/integration/front_door_test.cpp
+++ b/tests/integration/front_door_test.cpp
@@ -1,5 +1,5 @@
-// Closing a client's connection: what crosses it in that moment is read or the client can tell, and no answer
-// that it was sent is lost. The loop is turned by the test.
+// Closing a client's connection: a request that arrives at the same time is read, or the client can tell that
+// it was not, and no answer that was sent is lost. The test runs the event loop.
 #include "front_door_fixture.h"
 
 namespace orchidgw::integration {
@@ -7,7 +7,7 @@
 
 using namespace std::chrono_literals;
 
-// Guards against a request that is thrown away: it came as its idle connection was to be closed.
+// Guards against a request that is lost because it arrives as its idle connection is about to be closed.
 TEST_F(FrontDoorTest, ARequestThatComesAsItsConnectionExpiresIsRead) {
   open(4);
   auto socket = client();
@@ -42,7 +42,7 @@
 TEST_F(FrontDoorTest, ARequestThatComesAsItsPlaceIsToBeGivenAwayIsRead) {
   open(1);
   auto socket = client();
-  std::this_thread::sleep_for(150ms);  // only who was quiet for a while gives its place away
+  std::this_thread::sleep_for(150ms);  // only connections that were quiet for a while are evicted
   write(socket, invoke(2));
   auto newcomer = connect();
   client_listener->on_readable();
@@ -50,8 +50,8 @@
   EXPECT_EQ(ends(core::ConnectionEnd::kMadeRoom), 0U);
 }
 
-// Guards against a close over unread bytes, which the system answers with a reset that takes answers with it;
-// and against a request that is sent on though its answer has no way back.
+// Guards against a close over unread bytes, after which the kernel sends a reset that discards answers; and
+// against a request that is passed on although its answer can no longer be sent.
 TEST_F(FrontDoorTest, WhatComesAfterTheCloseIsThrownAwayAndResetsNothing) {
   open(4);
   auto socket = client();
@@ -71,7 +71,7 @@
   run_until([this] { return client_listener->empty(); });
 }
 
-// A client that breaks the rules again and again gets the answers that it was sent before the end.
+// A client that is closed for repeated invalid requests still receives the answers sent before.
 TEST_F(FrontDoorTest, AClientThatIsClosedOverUnreadBytesReadsItsAnswersAndTheEnd) {
   open(4);
   auto socket = connect();
@@ -105,7 +105,8 @@
   EXPECT_TRUE(client_listener->empty());
 }
 
-// Guards against attempts for a client that left while it was not read: its close lies behind unread bytes.
+// Guards against attempts for a client that disconnected while nothing was read from it: its close comes
+// after unread bytes.
 TEST_F(FrontDoorTest, AClientThatLeavesBehindUnreadBytesIsSeen) {
   open(4);
   auto socket = client();
@@ -116,20 +117,20 @@
   run_until([this] { return counters.reads_paused == 1; });
   run_until([this, turns = 0]() mutable { return ++turns > 20; });
   EXPECT_EQ(count<core::ClientClosed>(), 0U);
-  EXPECT_LT(counters.client_bytes_in, many_calls.size() / 2);  // what is paused is not read without end
+  EXPECT_LT(counters.client_bytes_in, many_calls.size() / 2);  // reading from a paused client is bounded
   socket.close();
   run_until([this] { return count<core::ClientClosed>() == 1; });
   EXPECT_EQ(count<core::RequestArrived>(), 0U);
 }
 
-// Guards against attempts for a request that was given up while its client was paused.
+// Guards against attempts for a request that was aborted while its client was paused.
 TEST_F(FrontDoorTest, AbortsOfAPausedClientGoThroughAndItsCallsWaitInOrder) {
   open(4);
   auto socket = client();
   crowded = true;
   for (std::int32_t i = 2; i <= 5; ++i) write(socket, invoke(i));
-  write(socket, abort(3));  // has not been taken: nobody else hears of it
-  write(socket, abort(1));  // was taken before
+  write(socket, abort(3));  // its call is held: the abort is not passed on
+  write(socket, abort(1));  // its call was acted on before
   ASSERT_TRUE(run_until([this] { return count<core::RequestAborted>() == 1; }));
   EXPECT_EQ(std::get<core::RequestAborted>(events.back()).tag, 1);
   EXPECT_EQ(count<core::RequestArrived>(), 0U);
@@ -144,7 +145,7 @@
   run_until([this] { return count<core::RequestArrived>() == 4; });
 }
 
-// Guards against a stop that throws away who waits to be accepted while there is no room.
+// Guards against a shutdown that drops connections waiting to be accepted while memory is short.
 TEST_F(FrontDoorTest, AStopListensUntilWhoWaitsHasAPlace) {
   open(4);
   crowded = true;
--- a/tests/unit/attention_test.cpp
+++ b/tests/unit/attention_test.cpp
@@ -1,4 +1,4 @@
-// How long a process did not attend to its sockets, on a clock moved by hand.
+// How long the event loop was stalled, with times set by the test.
 #include "net/attention.h"
 
 #include <gtest/gtest.h>
@@ -10,12 +10,12 @@
 
 TEST(Attention, LosesOnlyWhatPassedSinceTheLoopWasToBeBack) {
   Attention attention;
-  attention.turn_begins(1'000'000 * kMs);  // the first turn: nothing was lost before it
+  attention.turn_begins(1'000'000 * kMs);  // the first turn: no stall is counted before it
   attention.loop_waits(1'000 * kMs);
   attention.turn_begins(1'000'400 * kMs);  // woken early by a socket
   EXPECT_EQ(attention.lost(), 0);
   attention.loop_waits(100 * kMs);
-  attention.turn_begins(1'000'510 * kMs);  // within what timers are late by
+  attention.turn_begins(1'000'510 * kMs);  // within the tolerance for late timers
   EXPECT_EQ(attention.lost(), 0);
   attention.loop_waits(0);
   attention.turn_begins(1'002'510 * kMs);  // two seconds in one turn
@@ -25,8 +25,8 @@
   EXPECT_EQ(attention.lost(), 1'980 * kMs);
 }
 
-// Guards against timers that fire on what was known before a stall, with newer news unread; and against a
-// process that is always late and never acts.
+// Guards against timers that act on what was known before a stall while newer events are unread; and against
+// a process that is always late and never acts.
 TEST(Attention, ATurnThatComesLateIsLeftToTheNextOneNeverTwiceInARow) {
   Attention attention;
   EXPECT_FALSE(attention.turn_begins(1'000'000 * kMs));
--- a/tests/unit/buffer_pool_test.cpp
+++ b/tests/unit/buffer_pool_test.cpp
@@ -46,7 +46,7 @@
   EXPECT_EQ(pool.in_use(), 0U);
 }
 
-// Guards against a peak of one moment that the process keeps for the rest of its days.
+// Guards against a process that keeps the memory of a short peak for good.
 TEST_F(Buffers, APeakIsGivenBack) {
   std::vector<std::unique_ptr<Block>> blocks;
   for (int i = 0; i < 60; ++i) blocks.push_back(pool.acquire());
@@ -74,7 +74,7 @@
     held.back().append("x");
     ++taken;
   }
-  EXPECT_EQ(taken, 56U);  // an eighth stays in reserve for what is begun
+  EXPECT_EQ(taken, 56U);  // an eighth is reserved for work in progress
   held.emplace_back(pool);
   held.back().append("y");
   EXPECT_EQ(counters.buffers.most, 57U);
--- a/tests/unit/channel_test.cpp
+++ b/tests/unit/channel_test.cpp
@@ -1,4 +1,5 @@
-// A descriptor's interest as the system's poll has it, not as POCO tells it.
+// The events that a descriptor is registered for, as the kernel's epoll has them and not as POCO reports
+// them.
 #include "net/channel.h"
 
 #include <fcntl.h>
@@ -23,7 +24,7 @@
   void on_failure(const char*) override {}
 };
 
-// The events that some epoll of this process watches a descriptor for; -1: none does.
+// The events for which an epoll of this process watches a descriptor; -1 if none does.
 long watched_events(int fd) {
   for (const auto& entry : std::filesystem::directory_iterator("/proc/self/fdinfo")) {
     std::ifstream in(entry.path());
@@ -52,7 +53,7 @@
   IgnoringHandler handler;
 };
 
-// Guards against a loop that spins: POCO 1.11 left the event of an observer that was taken out in the poll.
+// Guards against a loop that spins: POCO 1.11 left the event of a removed observer in the poll.
 TEST_F(Interest, InWritingIsReallyTakenBack) {
   Channel channel(reactor, ends[0], handler);
   channel.want_write(true);
--- a/tests/unit/event_queue_test.cpp
+++ b/tests/unit/event_queue_test.cpp
@@ -1,4 +1,4 @@
-// The order in which what lies ready goes in.
+// The order in which queued events are handed out.
 #include "net/event_queue.h"
 
 #include <gtest/gtest.h>
@@ -6,8 +6,8 @@
 namespace orchidgw::net {
 namespace {
 
-// Departures go before outcomes: guards against one more attempt for a client that left, by the end of the
-// last.
+// Disconnects and aborts come before outcomes: guards against one more attempt, at the end of the last one,
+// for a client that has gone.
 TEST(EventQueue, ListChangesThenDeparturesThenOutcomesThenRequests) {
   EventQueue queue;
   queue.push(core::RequestArrived{1, 1, std::nullopt, ""}, 10);
@@ -26,7 +26,7 @@
   EXPECT_TRUE(queue.empty());
 }
 
-// Guards against queries that run for nobody: a client that sends and leaves in one go.
+// Guards against queries that run for nobody: a client sends a request and disconnects at once.
 TEST(EventQueue, ARequestDoesNotOutliveItsClient) {
   EventQueue queue;
   queue.push(core::RequestArrived{1, 1, std::nullopt, ""}, 10);
@@ -41,7 +41,7 @@
   EXPECT_FALSE(queue.next_request().has_value());
 }
 
-// Guards against clients that together pass the bound on statements within one turn.
+// Guards against clients that together exceed the bound on statement bytes within one turn.
 TEST(EventQueue, CountsTheStatementsInLine) {
   EventQueue queue;
   core::ClientRequest request;
@@ -68,7 +68,7 @@
   return change;
 }
 
-// Guards against sends to an engine that joined and drained in one answer of the change log.
+// Guards against queries sent to an engine that joined and drained in one answer of the change log.
 TEST(EventQueue, ListChangesInLineAreOne) {
   using enum EngineState;
   EventQueue queue;
