--- a/src/net/attention.h
+++ b/src/net/attention.h
@@ -11,7 +11,7 @@
 class Attention {
  public:
   // Begins a turn at `now` (monotonic time). The time since the turn was expected, less `kTolerance`, counts
-  // as stalled. True if the turn is late: then it has to act on nothing and leave that to the next one, which
+  // as stalled. True if the turn is late and has to act on nothing: that is left to the next one, which
   // comes after the sockets are read. Never true twice in a row: a process that is always late would only
   // read.
   bool turn_begins(TimeUs now) {
--- a/src/net/client_connection.cpp
+++ b/src/net/client_connection.cpp
@@ -154,7 +154,7 @@
 
 void ClientConnection::dispatch_call(const thrift::FrontCall& call, Reason refuse_as) {
   using Kind = thrift::FrontCall::Kind;
-  if (!call.wants_answer) return;  // clients would misread an answer to a oneway message
+  if (!call.wants_answer) return;  // a client would not understand an answer to a oneway message
   if (call.kind == Kind::kPing) {
     send(thrift::pong(call.sequence, is_ready_()));
   } else if (call.kind == Kind::kInvoke) {
@@ -341,7 +341,7 @@
 }
 
 // Guards against losing a request that arrives just as its connection is to be closed: read here, it is
-// served; closed over it unread, the connection would be reset, which also takes answers sent before.
+// served; if the connection is closed over it, the kernel resets it, which also discards answers sent before.
 bool ClientConnection::confirm_quiet() {
   if (!is_open() || paused_) return false;
   const std::uint64_t before = context_.counters.client_bytes_in;
--- a/src/net/front_door.cpp
+++ b/src/net/front_door.cpp
@@ -12,7 +12,7 @@
 
 constexpr TimeUs kSweepInterval = 100'000;
 constexpr TimeUs kShutdownSweepInterval = 10'000;
-// For paused clients that have disconnected: an attempt started after the disconnect soon is a violation.
+// For paused clients: an attempt that starts too long after its client's disconnect is a violation.
 constexpr TimeUs kDisconnectCheckInterval = 20'000;
 constexpr TimeUs kLingerTimeout = 1'000'000;    // within it a client closes its side of the connection
 constexpr std::size_t kMaxExtraLingering = 16;  // descriptors in addition to those for connected clients
--- a/src/net/sockets.h
+++ b/src/net/sockets.h
@@ -13,7 +13,8 @@
 
 // The result of a read or write: the number of bytes transferred, or why there were none.
 struct Moved {
-  // kLater: the call would block. kClosed: the peer has closed its side. kReset: the connection failed.
+  // kLater: try again once the descriptor is ready. kClosed: the peer has closed its side. kReset: the
+  // connection failed.
   enum class Kind { kBytes, kLater, kClosed, kReset };
   Kind kind = Kind::kLater;
   std::size_t bytes = 0;
--- a/src/net/wake.h
+++ b/src/net/wake.h
@@ -9,7 +9,7 @@
   ~Wake();
   Wake(const Wake&) = delete;
   Wake& operator=(const Wake&) = delete;
-  // A descriptor, owned by the caller, that is readable after `ring` until `heard`. Throws SystemCallError.
+  // A descriptor, owned by the caller, that is readable from notify() until clear(). Throws SystemCallError.
   int duplicate() const;
   void ring();   // wakes the loop; for any thread
   void heard();  // resets the event
