--- a/src/net/loop_ticker.cpp
+++ b/src/net/loop_ticker.cpp
@@ -13,13 +13,14 @@
 
 constexpr long kPeriodNs = 100'000'000;
 
+// The descriptor of a running timer, or -1 with errno set.
 int open_timer() {
   const int fd = timerfd_create(CLOCK_MONOTONIC, TFD_NONBLOCK | TFD_CLOEXEC);
   if (fd < 0) return -1;
-  itimerspec pace{};
-  pace.it_value.tv_nsec = kPeriodNs;
-  pace.it_interval.tv_nsec = kPeriodNs;
-  if (timerfd_settime(fd, 0, &pace, nullptr) == 0) return fd;
+  itimerspec timer{};
+  timer.it_value.tv_nsec = kPeriodNs;
+  timer.it_interval.tv_nsec = kPeriodNs;
+  if (timerfd_settime(fd, 0, &timer, nullptr) == 0) return fd;
   const int error = errno;
   ::close(fd);
   errno = error;
@@ -39,7 +40,7 @@
   channel_->want_read(true);
 }
 
-// The turn has been taken by then: the reactor takes one whenever its wait is over.
+// Only resets the timer's descriptor: the reactor runs a turn whenever its wait ends.
 void LoopTicker::on_readable() {
   std::uint64_t periods = 0;
   if (::read(channel_->fd(), &periods, sizeof periods) == 0) close();
--- a/src/net/signals.cpp
+++ b/src/net/signals.cpp
@@ -12,19 +12,19 @@
 namespace orchidgw::net {
 namespace {
 
-sigset_t all_read() {
+sigset_t handled_signals() {
   sigset_t set;
   sigemptyset(&set);
   sigaddset(&set, SIGTERM);
   sigaddset(&set, SIGINT);
   sigaddset(&set, SIGUSR1);
-  sigaddset(&set, SIGHUP);  // guards against a reload that ends the program
+  sigaddset(&set, SIGHUP);  // guards against a reload that ends the process
   return set;
 }
 
-int open_signals() {
+int open_signal_descriptor() {
   hold_signals();
-  const sigset_t set = all_read();
+  const sigset_t set = handled_signals();
   const int fd = signalfd(-1, &set, SFD_NONBLOCK | SFD_CLOEXEC);
   if (fd < 0) throw SystemCallError(SystemCall::kSignalDescriptor, errno, "start");
   return fd;
@@ -34,12 +34,12 @@
 
 void hold_signals() {
   ::signal(SIGPIPE, SIG_IGN);
-  const sigset_t set = all_read();
+  const sigset_t set = handled_signals();
   sigprocmask(SIG_BLOCK, &set, nullptr);
 }
 
 Signals::Signals(Reactor& reactor, std::function<void(int)> on_signal)
-    : on_signal_(std::move(on_signal)), channel_(reactor, open_signals(), *this) {
+    : on_signal_(std::move(on_signal)), channel_(reactor, open_signal_descriptor(), *this) {
   channel_.want_read(true);
 }
 
--- a/tests/integration/front_door_fixture.h
+++ b/tests/integration/front_door_fixture.h
@@ -1,4 +1,5 @@
-// The front door in this process, its loop turned by the test, and frames as clients write them.
+// A ClientListener in this process, whose event loop the test runs turn by turn, and frames as clients write
+// them.
 #pragma once
 
 #include <Poco/Net/NetException.h>
@@ -21,7 +22,7 @@
 
 namespace orchidgw::integration {
 
-// A frame of the front, as libthrift writes it.
+// A frame of the clients' service, as libthrift writes it.
 template <typename Write>
 std::string frame(Write write) {
   using namespace apache::thrift::transport;
@@ -43,7 +44,7 @@
   });
 }
 
-// Not usable, which is for the reducer to say: here it only has to arrive.
+// A call without arguments. It is invalid, but only the reducer checks that: here it only has to arrive.
 inline std::string invoke(std::int32_t sequence) {
   using namespace apache::thrift::protocol;
   return frame([&](TBinaryProtocol& out) {
@@ -76,11 +77,12 @@
   void open(std::size_t clients) {
     const int listener = net::listen_at({"127.0.0.1", 0}).release();
     ASSERT_GE(listener, 0);
-    sockaddr_in at{};
-    socklen_t size = sizeof at;
-    ASSERT_EQ(getsockname(listener, reinterpret_cast<sockaddr*>(&at), &size), 0);
-    address = Poco::Net::SocketAddress("127.0.0.1", ntohs(at.sin_port));
-    door = std::make_unique<net::FrontDoor>(context, listener, net::FrontLimits{clients, 1'000'000}, reducer);
+    sockaddr_in socket_address{};
+    socklen_t size = sizeof socket_address;
+    ASSERT_EQ(getsockname(listener, reinterpret_cast<sockaddr*>(&socket_address), &size), 0);
+    address = Poco::Net::SocketAddress("127.0.0.1", ntohs(socket_address.sin_port));
+    client_listener =
+        std::make_unique<net::FrontDoor>(context, listener, net::FrontLimits{clients, 1'000'000}, reducer);
   }
 
   Poco::Net::StreamSocket connect() {
@@ -93,17 +95,17 @@
     socket.sendBytes(bytes.data(), static_cast<int>(bytes.size()));
   }
 
-  // Bytes, 0 at the end, -1 for a reset.
+  // The number of bytes read, 0 at the end of the connection, -1 for a reset.
   static int read(Poco::Net::StreamSocket& socket) {
-    char into[4096];
+    char buffer[4096];
     try {
-      return socket.receiveBytes(into, sizeof into);
+      return socket.receiveBytes(buffer, sizeof buffer);
     } catch (const Poco::Net::ConnectionResetException&) {
       return -1;
     }
   }
 
-  // One that was accepted and has been answered.
+  // A client that was accepted and whose ping has been answered.
   Poco::Net::StreamSocket client() {
     const auto before = counters.client_bytes_out;
     Poco::Net::StreamSocket socket = connect();
@@ -113,8 +115,8 @@
     return socket;
   }
 
-  // Turns the loop until the condition holds; false after a long time. POCO's loop can't be run again once it
-  // has ended: it has a thread of its own, which stands still inside a turn whenever the test goes on.
+  // Runs the loop until the condition holds; false after 20 s. POCO's loop can't be run again once it has
+  // ended: it has a thread of its own, which waits inside a turn while the test goes on.
   bool run_until(std::function<bool()> done) {
     std::unique_lock lock(mutex);
     const auto last = std::chrono::steady_clock::now() + std::chrono::seconds(20);
@@ -131,24 +133,24 @@
     return in_time;
   }
 
-  // Of the loop's thread.
+  // Called by the loop's thread; returns its longest wait (us).
   TimeUs turn() {
     std::unique_lock lock(mutex);
     context.closed.clear();
-    if (door) door->between_turns(net::monotonic_now());
+    if (client_listener) client_listener->between_turns(net::monotonic_now());
     if (condition && condition()) {
       running = false;
       changed.notify_all();
-      changed.wait(lock, [this] { return running || over; });
+      changed.wait(lock, [this] { return running || finished; });
     }
-    if (over) reactor.stop();
+    if (finished) reactor.stop();
     return 1000;
   }
 
   ~FrontDoorTest() override {
     {
       const std::lock_guard lock(mutex);
-      over = true;
+      finished = true;
       running = true;
       changed.notify_all();
     }
@@ -166,11 +168,11 @@
   }
 
   static constexpr TimeUs kSecond = 1'000'000;
-  std::mutex mutex;  // held by whoever acts: the test, or the loop in its turn
+  std::mutex mutex;  // held by the test, or by the loop during a turn
   std::condition_variable changed;
   std::function<bool()> condition;
   bool running = false;
-  bool over = false;
+  bool finished = false;
   std::thread loop;
   bool crowded = false;
   metrics::Counters counters;
@@ -188,7 +190,7 @@
                        {}};
   core::Reducer reducer{settings(), 1, counters};
   Poco::Net::SocketAddress address;
-  std::unique_ptr<net::FrontDoor> door;
+  std::unique_ptr<net::FrontDoor> client_listener;
 };
 
 }  // namespace orchidgw::integration
