--- a/src/service_level/ladder.h
+++ b/src/service_level/ladder.h
@@ -1,7 +1,8 @@
-// One ladder of levels: which level holds now, and why. Entered one level at a time when a condition has held
-// for its time; left by a trial that lets a part of the shed work in, watches, then more. Hysteresis is by
-// time and by two thresholds; the number of changes in a window is bounded whatever the signals do. No I/O,
-// no clock.
+// One ladder of service levels: which level is active, and why. Levels are entered one at a time, each once
+// its `enter` condition has held for the stated time. A level is left by a trial that admits a growing share
+// of the shed queries and watches the signals after each step. Hysteresis comes from hold times and from
+// separate thresholds for entering and leaving; the number of changes in a window is limited whatever the
+// signals do. No I/O, no clock.
 #pragma once
 
 #include <deque>
@@ -14,87 +15,95 @@
 
 namespace orchidgw::service_level {
 
-// The time for which a condition's comparisons have held.
-class Held {
+// Tracks for how long the comparisons of a condition have been true.
+class ConditionTracker {
  public:
-  explicit Held(const Condition& condition);
+  explicit ConditionTracker(const Condition& condition);  // `condition` must outlive the tracker
 
-  // `credit`: the time that this sample stands for. `unknown_holds`: what a signal that can't be told counts
-  // as.
+  // `credit`: the time in microseconds that this sample adds to the hold time. `unknown_holds`: the result of
+  // a comparison whose signal has no value.
   void sample(TimeUs now, TimeUs credit, const SignalView& view, bool unknown_holds);
   bool holds() const { return holds_; }
-  void forget();
-  std::string why() const;  // the comparisons that hold, with their figures
-  double excess() const;    // how far past its threshold the first one that holds is, 1 at the threshold
+  void reset();                // starts the hold times anew
+  std::string reason() const;  // the comparisons that hold, with their values
+  // Ratio by which a signal is past its threshold, 1 at the threshold: the highest of all comparisons. 0: no
+  // value.
+  double excess() const;
 
  private:
   const Condition* condition_;
-  std::vector<Held> parts_;
-  TimeUs held_ = 0;
-  std::optional<double> seen_;
+  std::vector<ConditionTracker> parts_;
+  TimeUs held_for_ = 0;
+  std::optional<double> last_value_;
   bool holds_ = false;
 };
 
+// A change of level, or news of a trial.
 struct Change {
   std::string from;
   std::string to;
   std::string reason;
-  TimeUs stayed = 0;   // in `from`
-  bool trial = false;  // no change of level: a trial began, went on or failed
+  TimeUs stayed = 0;   // time in `from` so far, microseconds
+  bool trial = false;  // the level is unchanged (`to` is `from`): a trial began, went on, or failed
 };
 
 class Ladder {
  public:
-  // `levels` outlive it.
+  // `levels`: lowest first; they must outlive the ladder.
   Ladder(std::vector<const Level*> levels, const Trial& trial, const ChangeBound& changes);
 
-  // One sample; at most one change. The first sample only sets the time.
+  // Reads the signals once and makes at most one change. The first sample only sets the time.
   std::optional<Change> sample(TimeUs now, const SignalView& view);
 
-  const Level* level() const { return at_ == 0 ? nullptr : levels_[at_ - 1]; }  // null: full service
-  std::size_t height() const { return at_; }
-  TimeUs since() const { return since_; }
-  double let_in_part() const;  // of what the level sheds: above 0 in a trial
-  std::uint64_t changes_made() const { return changes_made_; }
+  const Level* level() const {
+    return position_ == 0 ? nullptr : levels_[position_ - 1];
+  }                                                 // null: full service
+  std::size_t height() const { return position_; }  // how many levels are active
+  TimeUs level_since() const { return level_since_; }
+  // Share of the queries that the highest active level sheds which a trial admits; 0 without a trial.
+  double admitted_share() const;
+  std::uint64_t changes_made() const { return change_count_; }
 
-  // By hand, until then; a name that this ladder lacks is ignored.
+  // An operator's override: stays at `level` until then, whatever the signals say. Ignores a name that this
+  // ladder lacks.
   void set_by_hand(const std::string& level, TimeUs until);
-  // From another ladder, where levels of the same name stay: the level with its stay.
-  void take_over(const Ladder& before);
+  // After a reload, takes the state of the ladder before it: a level of the same name stays active, with the
+  // time that it has been so.
+  void adopt_state(const Ladder& before);
 
  private:
-  enum class Phase { kStay, kTrial };
+  enum class Phase { kSteady, kTrial };
 
-  std::optional<Change> by_hand(TimeUs now);
-  std::optional<Change> go_up(TimeUs now);
-  std::optional<Change> stay(TimeUs now);
-  std::optional<Change> go_on_with_trial(TimeUs now);
+  std::optional<Change> apply_override(TimeUs now);
+  std::optional<Change> enter_next_level(TimeUs now);
+  std::optional<Change> consider_leaving(TimeUs now);
+  std::optional<Change> continue_trial(TimeUs now);
   Change move_to(TimeUs now, std::size_t to, std::string reason);
-  Change trial_news(TimeUs now, std::string reason) const;
-  bool may_change(TimeUs now);
-  const std::string& name_at(std::size_t at) const;
-  std::optional<std::size_t> place_of(const std::string& name) const;
+  Change trial_event(TimeUs now, std::string reason) const;
+  bool may_change(TimeUs now);  // within the change limit; drops the times of changes before its window
+  const std::string& name_at(std::size_t position) const;
+  std::optional<std::size_t> position_of(const std::string& name) const;
 
   std::vector<const Level*> levels_;
   Trial trial_;
-  ChangeBound bound_;
-  std::vector<Held> enter_, leave_;  // by level
-  std::size_t at_ = 0;               // 0: full service
-  TimeUs since_ = 0;
+  ChangeBound change_limit_;
+  std::vector<ConditionTracker> enter_, leave_;  // by level
+  std::size_t position_ = 0;                     // of the highest active level, from 1; 0: full service
+  TimeUs level_since_ = 0;
   TimeUs last_sample_ = 0;
-  Phase phase_ = Phase::kStay;
-  std::size_t part_ = 0;
-  TimeUs part_since_ = 0;
-  TimeUs stay_from_ = 0;  // the longest stay counts from here: the entry, or the last trial
-  TimeUs next_trial_ = 0;
-  int failed_ = 0;  // trials in a row
+  Phase phase_ = Phase::kSteady;
+  std::size_t trial_part_ = 0;
+  TimeUs trial_part_since_ = 0;
+  TimeUs longest_stay_from_ = 0;  // the longest stay counts from here: the entry, or the last failed trial
+  TimeUs next_trial_at_ = 0;
+  int failed_trials_ = 0;  // in a row
   double excess_at_entry_ = 0;
-  std::vector<TimeUs> barred_until_;  // by level: it did not help
-  std::vector<int> unhelpful_;        // by level, in a row
-  std::deque<TimeUs> changes_;
-  std::uint64_t changes_made_ = 0;
-  std::string hand_level_;
-  TimeUs hand_until_ = 0;
+  std::vector<TimeUs> barred_until_;  // by level: not entered before, as it did not help
+  std::vector<int> unhelpful_stays_;  // by level, in a row
+  std::deque<TimeUs> change_times_;   // within the window of the change limit
+  std::uint64_t change_count_ = 0;
+  std::string override_level_;
+  TimeUs override_until_ = 0;  // 0: no override
 };
 
 }  // namespace orchidgw::service_level
--- a/src/service_level/level.h
+++ b/src/service_level/level.h
@@ -1,6 +1,6 @@
-// What an operator states of reduced service: levels in order, each with the conditions on which it is
-// entered and left and what it does. Plain values, each with its place in the file. No I/O, no clock, no
-// decision.
+// The service levels of the operator file: an ordered list, each level with the conditions on which it is
+// entered and left, and its effects. Plain values with their locations in the file. No I/O, no clock, no
+// decisions.
 #pragma once
 
 #include <string>
@@ -14,50 +14,50 @@
 using limits::Maybe;
 using limits::Place;
 
-// What the gateway sees of its own service. Shares are 0 to 1, times microseconds.
+// What the controller measures of its own service. Shares are 0 to 1, times microseconds.
 enum class Signal {
-  kLineLength,     // queries that wait to be sent
-  kLineAge,        // how long the oldest of them has waited
-  kRefusedShare,   // of the queries that no level turned away
-  kLateShare,      // of the answered ones: past the aim, or failed
-  kArrivals,       // queries a second, shed ones included
-  kSlowdown,       // mean of time over expected time, all engines
-  kSlowestEngine,  // that of the slowest engine over the mean of all
-  kInService,      // share of the known engines that are in service
-  kLoopLag,        // how late the program's own timers fire
-  kBuffers,        // share of the buffers in use
+  kQueueLength,    // queries of which no attempt was sent yet
+  kQueueAge,       // wait of the oldest of them
+  kRefusedShare,   // refused queries, of those that no level shed
+  kLateShare,      // of the answered queries: later than the latency target, or failed
+  kArrivals,       // queries per second, including shed ones
+  kSlowdown,       // attempts' mean of run time / expected run time, all engines
+  kSlowestEngine,  // slowdown of the slowest engine / mean slowdown of all
+  kInService,      // share of the listed engines that are in service
+  kLoopLag,        // how late the event loop's timers fire
+  kBuffers,        // share of the buffer memory in use
 };
-inline constexpr std::size_t kSignals = static_cast<std::size_t>(Signal::kBuffers) + 1;
+inline constexpr std::size_t kSignalCount = static_cast<std::size_t>(Signal::kBuffers) + 1;
 
-const char* name_of(Signal signal);
-std::optional<Signal> signal_named(std::string_view name);
+const char* name_of(Signal signal);                         // as in the operator file
+std::optional<Signal> signal_named(std::string_view name);  // nothing: no signal has this name
 bool is_time(Signal signal);
-bool by_class_or_tenant(Signal signal);  // others are of the whole gateway
-// Whether shedding changes the signal itself: a line gets short, and what is refused early is no longer
-// refused late. Such a signal can't say that the level may be left.
+bool can_filter_by_class_or_tenant(Signal signal);  // others are of the whole controller
+// Whether shedding by itself improves the signal: the queue gets shorter, and a query that is shed is not
+// refused later. Such a signal does not show that the level can be left.
 bool changed_by_shedding(Signal signal);
 
 struct SignalKey {
   Signal signal = Signal::kSlowdown;
   std::string class_name;     // empty: all
   std::string tenant;         // empty: all
-  TimeUs window = 5'000'000;  // over which it is smoothed
+  TimeUs window = 5'000'000;  // smoothing window, microseconds
   bool operator==(const SignalKey&) const = default;
 };
 
-// One comparison, or all or any of several.
+// One comparison of a signal with a threshold, or `all` or `any` of several conditions.
 struct Condition {
-  enum class Kind { kLeaf, kAll, kAny };
-  Kind kind = Kind::kLeaf;
+  enum class Kind { kComparison, kAll, kAny };
+  Kind kind = Kind::kComparison;
   Place place;
-  SignalKey key;  // of kLeaf, as are those below
-  bool above = true;
-  double threshold = 0;
-  TimeUs hold = 0;               // it must be so for this long
+  SignalKey key;                 // of kComparison, as are the fields up to `hold`
+  bool above = true;             // false: holds below the threshold
+  double threshold = 0;          // in the signal's unit
+  TimeUs hold = 0;               // how long the comparison must be true, microseconds
   std::vector<Condition> parts;  // of kAll and kAny
 };
 
-// Whose queries are turned away, and which share of them.
+// Whose queries are shed, and which share of them.
 struct Shed {
   std::string class_name;  // empty: all
   std::string tenant;      // empty: all
@@ -65,42 +65,43 @@
   Place place;
 };
 
+// What a level does while it is active.
 struct Effects {
   std::vector<Shed> shed;
   bool no_second_copies = false;
   bool no_further_attempts = false;
-  double limits = 1;        // scale of rates and bounds on queries under way, above 0
-  TimeUs longest_hold = 0;  // before the first attempt; 0: as without the level
-  double grants = 1;        // scale of memory grants, above 0
-  int priority = 0;         // added to each, within 0 to 3
+  double limits = 1;        // factor on the limits' rates and concurrency, above 0
+  TimeUs longest_hold = 0;  // longest wait before the first attempt; 0: as without the level
+  double grants = 1;        // factor on memory grants, above 0
+  int priority = 0;         // added to each query's priority; the sum is kept within 0 to 3
 };
 
 struct Level {
   std::string name;
   Place place;
-  std::string tenant;  // a ladder of its own for this tenant; empty: the general one
+  std::string tenant;  // the level is of this tenant's own ladder; empty: of the general one
   Condition enter;
   Condition leave;
   TimeUs least_stay = 30'000'000;
-  TimeUs longest_stay = 600'000'000;  // then it is tried whether the level can be left
+  TimeUs longest_stay = 600'000'000;  // after it a trial begins, whatever the signals say
   Effects effects;
 };
 
-// How a level is left: in parts of what it sheds, each watched for a step.
+// How a level is left: growing shares of the queries that it sheds are admitted, each for one step.
 struct Trial {
   std::vector<double> parts = {0.1, 0.3, 0.6};
   TimeUs step = 10'000'000;
-  TimeUs wait = 30'000'000;  // after a failed trial; doubled with each
+  TimeUs wait = 30'000'000;  // until the next trial after a failed one; doubles with each failure in a row
   TimeUs wait_most = 600'000'000;
 };
 
-// At most so many changes of a ladder in any window, whatever the signals do.
+// Limits the changes of a ladder: at most `most` in any window, whatever the signals do.
 struct ChangeBound {
   int most = 4;
   TimeUs window = 600'000'000;
 };
 
-// A level that an operator set by hand.
+// An operator's override: this level, until then.
 struct Manual {
   std::string level;  // "full" for full service
   TimeUs until = 0;   // Unix time, microseconds
@@ -108,7 +109,7 @@
 };
 
 struct LevelFile {
-  std::vector<Level> levels;  // of each ladder in order: the first sheds least
+  std::vector<Level> levels;  // in the order of the file; of each ladder the first sheds least
   Trial trial;
   ChangeBound changes;
   std::optional<Manual> manual;
--- a/src/service_level/meters.h
+++ b/src/service_level/meters.h
@@ -1,5 +1,5 @@
-// The signals as they are measured: one meter for each that a condition names, fading over its window. No
-// I/O, no clock. Bounded by the conditions of the file, and by the engines in the list.
+// Measures the signals: one exponentially decaying meter for each signal that a condition names. No I/O, no
+// clock. Memory is bounded by the conditions of the operator file and by the engines in the list.
 #pragma once
 
 #include <optional>
@@ -10,61 +10,65 @@
 
 namespace orchidgw::service_level {
 
-// Where the machine reads signals: from meters, or from a recording.
+// Where a ladder reads signals from: meters, or a recording.
 class SignalView {
  public:
   virtual ~SignalView() = default;
-  // Nothing: too little was seen to tell.
+  // In the signal's unit; nothing: there is too little data for a value.
   virtual std::optional<double> value(TimeUs now, const SignalKey& key) const = 0;
 };
 
-// A quotient of two sums that fade: what happened a window ago counts 1/e.
+// A weighted mean with exponential decay: data that is one window old counts 1/e.
 class Meter {
  public:
   void add(TimeUs now, TimeUs window, double value, double weight);
-  std::optional<double> mean(TimeUs now, TimeUs window, double least_weight) const;
+  // Nothing: less than `min_weight` is left.
+  std::optional<double> mean(TimeUs now, TimeUs window, double min_weight) const;
   double weight(TimeUs now, TimeUs window) const;
 
  private:
-  static double faded(TimeUs passed, TimeUs window);
+  static double decay(TimeUs passed, TimeUs window);
   double sum_ = 0;
   double weight_ = 0;
-  TimeUs at_ = 0;
+  TimeUs last_update_ = 0;
 };
 
 class Meters final : public SignalView {
  public:
   explicit Meters(std::vector<SignalKey> keys);
 
-  // One query, by its class and tenant.
+  // Counts a query that arrives.
   void taken(TimeUs now, const std::string& class_name, const std::string& tenant);
-  // Not one that a level turned away: it is neither refused nor answered, lest the level feed on itself or
-  // look better for what it sheds.
+  // Not for a query that a level shed, which counts neither as refused nor as answered: the level would keep
+  // itself active, or look better for what it sheds.
   void refused(TimeUs now, const std::string& class_name, const std::string& tenant);
   void answered(TimeUs now, const std::string& class_name, const std::string& tenant, bool late);
-  // An attempt that ended well, with how long it should have taken (above 0).
-  void attempt(TimeUs now, const EngineId& engine, double stretch);
+  // A successful attempt; `slowdown`: its time / its expected time (above 0).
+  void attempt(TimeUs now, const EngineId& engine, double slowdown);
+  // Replaces the list of known engines; `in_service` of them are in service.
   void engines(const std::vector<EngineId>& listed, std::size_t in_service);
-  // Read once a sample.
-  void sample(TimeUs now, std::size_t line, TimeUs line_age, TimeUs loop_lag, double buffers);
+  // The values that are read at each sample; times in microseconds, `buffers` as a share.
+  void sample(TimeUs now, std::size_t queue_length, TimeUs queue_age, TimeUs loop_lag, double buffers);
 
   std::optional<double> value(TimeUs now, const SignalKey& key) const override;
 
  private:
-  struct Watched {
+  struct WatchedSignal {
     SignalKey key;
     Meter meter;
   };
-  void each(Signal signal, const std::string& class_name, const std::string& tenant, TimeUs now, double value,
-            double weight);
-  const Watched* find(const SignalKey& key) const;
-  std::optional<double> slowest(TimeUs now, const Watched& watched) const;
+  // Adds to each meter of the signal whose class and tenant match.
+  void add_to_matching(Signal signal, const std::string& class_name, const std::string& tenant, TimeUs now,
+                       double value, double weight);
+  const WatchedSignal* find(const SignalKey& key) const;
+  // Mean slowdown of the slowest engine / that of all; nothing: too little data.
+  std::optional<double> slowest_engine_ratio(TimeUs now, const WatchedSignal& watched) const;
 
-  std::vector<Watched> watched_;
+  std::vector<WatchedSignal> watched_;
   bool watches_engines_ = false;
-  std::unordered_map<EngineId, Meter> by_engine_;
-  std::size_t engines_ = 0;
-  std::size_t in_service_ = 0;
+  std::unordered_map<EngineId, Meter> engine_meters_;
+  std::size_t engine_count_ = 0;
+  std::size_t in_service_count_ = 0;
 };
 
 }  // namespace orchidgw::service_level
--- a/src/service_level/recorder.cpp
+++ b/src/service_level/recorder.cpp
@@ -9,9 +9,9 @@
 namespace orchidgw::service_level {
 namespace {
 
-constexpr std::size_t kRowsMost = 1'000'000;
+constexpr std::size_t kMaxRows = 1'000'000;
 
-std::vector<std::string_view> cells_of(std::string_view line) {
+std::vector<std::string_view> split_cells(std::string_view line) {
   std::vector<std::string_view> out;
   while (true) {
     const auto comma = line.find(',');
@@ -22,22 +22,22 @@
 }
 
 template <typename Number>
-std::optional<Number> number_in(std::string_view text) {
+std::optional<Number> parse_cell(std::string_view text) {
   Number value{};
   const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), value);
   if (error != std::errc() || end != text.data() + text.size()) return std::nullopt;
   return value;
 }
 
-[[noreturn]] void wrong(std::size_t line, const std::string& why) {
+[[noreturn]] void fail_at_line(std::size_t line, const std::string& why) {
   throw std::runtime_error("line " + std::to_string(line) + ": " + why);
 }
 
 }  // namespace
 
 std::string column_of(const SignalKey& key) {
-  const auto word = [](const std::string& text) { return text.empty() ? std::string("-") : text; };
-  return std::string(name_of(key.signal)) + "/" + word(key.class_name) + "/" + word(key.tenant) + "/" +
+  const auto or_dash = [](const std::string& text) { return text.empty() ? std::string("-") : text; };
+  return std::string(name_of(key.signal)) + "/" + or_dash(key.class_name) + "/" + or_dash(key.tenant) + "/" +
          std::to_string(key.window / 1000);
 }
 
@@ -49,12 +49,12 @@
     const auto value = view.value(now, key);
     sample.values.push_back(value ? std::optional<float>(static_cast<float>(*value)) : std::nullopt);
   }
-  if (samples_.size() < kSamplesMost) {
+  if (samples_.size() < kMaxSamples) {
     samples_.push_back(std::move(sample));
     return;
   }
-  samples_[next_] = std::move(sample);
-  next_ = (next_ + 1) % kSamplesMost;
+  samples_[next_slot_] = std::move(sample);
+  next_slot_ = (next_slot_ + 1) % kMaxSamples;
 }
 
 void Recorder::write(std::ostream& out, const std::string& prefix) const {
@@ -62,7 +62,7 @@
   for (const SignalKey& key : keys_) out << ',' << column_of(key);
   out << '\n';
   for (std::size_t i = 0; i < samples_.size(); ++i) {
-    const Sample& sample = samples_[(next_ + i) % samples_.size()];
+    const Sample& sample = samples_[(next_slot_ + i) % samples_.size()];
     out << prefix << sample.at / 1000;
     for (const auto& value : sample.values) {
       out << ',';
@@ -74,33 +74,35 @@
 
 Recording::Recording(std::istream& in) {
   std::string line;
-  if (!std::getline(in, line)) wrong(1, "empty: a first line with the signals' names is wanted");
-  for (const std::string_view cell : cells_of(line)) columns_.emplace_back(cell);
-  if (columns_[0] != "time_ms") wrong(1, "the first column must be time_ms");
-  for (std::size_t n = 2; std::getline(in, line); ++n) {
+  if (!std::getline(in, line)) fail_at_line(1, "empty: expected a header line with the signal names");
+  for (const std::string_view cell : split_cells(line)) columns_.emplace_back(cell);
+  if (columns_[0] != "time_ms") fail_at_line(1, "the first column must be time_ms");
+  for (std::size_t line_number = 2; std::getline(in, line); ++line_number) {
     if (line.empty()) continue;
-    if (rows_.size() >= kRowsMost) wrong(n, "more than a million samples");
-    const auto cells = cells_of(line);
+    if (rows_.size() >= kMaxRows) fail_at_line(line_number, "more than 1000000 samples");
+    const auto cells = split_cells(line);
     if (cells.size() != columns_.size())
-      wrong(n, std::to_string(columns_.size()) + " values are wanted, " + std::to_string(cells.size()) +
-                   " stand here");
-    const auto ms = number_in<std::int64_t>(cells[0]);
-    if (!ms) wrong(n, "time_ms is no whole number");
-    if (!times_.empty() && *ms * 1000 < times_.back()) wrong(n, "the time goes back");
+      fail_at_line(line_number, std::to_string(columns_.size()) + " values expected, " +
+                                    std::to_string(cells.size()) + " found");
+    const auto time_ms = parse_cell<std::int64_t>(cells[0]);
+    if (!time_ms) fail_at_line(line_number, "time_ms is not a whole number");
+    if (!times_.empty() && *time_ms * 1000 < times_.back())
+      fail_at_line(line_number, "the time goes backwards");
     std::vector<std::optional<double>> row;
     for (std::size_t i = 1; i < cells.size(); ++i) {
-      const auto value = number_in<double>(cells[i]);
-      if (!cells[i].empty() && (!value || !std::isfinite(*value))) wrong(n, columns_[i] + " is no number");
+      const auto value = parse_cell<double>(cells[i]);
+      if (!cells[i].empty() && (!value || !std::isfinite(*value)))
+        fail_at_line(line_number, columns_[i] + " is not a number");
       row.push_back(value);
     }
-    times_.push_back(*ms * 1000);
+    times_.push_back(*time_ms * 1000);
     rows_.push_back(std::move(row));
   }
 }
 
 bool Recording::next() {
-  if (at_ >= rows_.size()) return false;
-  ++at_;
+  if (rows_read_ >= rows_.size()) return false;
+  ++rows_read_;
   return true;
 }
 
@@ -111,7 +113,7 @@
 std::optional<double> Recording::value(TimeUs, const SignalKey& key) const {
   const auto it = std::find(columns_.begin(), columns_.end(), column_of(key));
   if (it == columns_.end()) return std::nullopt;
-  return rows_[at_ - 1][static_cast<std::size_t>(it - columns_.begin()) - 1];
+  return rows_[rows_read_ - 1][static_cast<std::size_t>(it - columns_.begin()) - 1];
 }
 
 }  // namespace orchidgw::service_level
--- a/src/service_level/recorder.h
+++ b/src/service_level/recorder.h
@@ -1,5 +1,5 @@
-// The last samples of all signals, in a bounded ring, and their form as CSV: what `level replay` reads. No
-// I/O but on streams that are given.
+// Keeps the last samples of all signals in a ring of fixed size, and writes and reads them as CSV, which
+// `level replay` takes. No I/O except on the streams that callers pass.
 #pragma once
 
 #include <istream>
@@ -11,17 +11,18 @@
 
 namespace orchidgw::service_level {
 
-// A signal's name in the CSV's first line: signal, class, tenant and window in ms, '/' between, '-' for all.
+// A signal's column name in the CSV header: signal, class, tenant and window in ms, separated by '/'; '-'
+// means all.
 std::string column_of(const SignalKey& key);
 
 class Recorder {
  public:
-  static constexpr std::size_t kSamplesMost = 480;  // two minutes
+  static constexpr std::size_t kMaxSamples = 480;  // two minutes
 
   explicit Recorder(std::vector<SignalKey> keys) : keys_(std::move(keys)) {}
 
   void record(TimeUs now, const SignalView& view);
-  // Oldest first; `prefix` stands before each line. A value that could not be told is left empty.
+  // Writes CSV, oldest sample first, each line with `prefix` before it. An unknown value is an empty cell.
   void write(std::ostream& out, const std::string& prefix) const;
   std::size_t samples() const { return samples_.size(); }
 
@@ -32,19 +33,19 @@
   };
   std::vector<SignalKey> keys_;
   std::vector<Sample> samples_;
-  std::size_t next_ = 0;  // to be overwritten, once all are in use
+  std::size_t next_slot_ = 0;  // overwritten next once all slots are used: the oldest sample
 };
 
-// A recording, a sample at a time.
+// Signals read from a recorded CSV, one sample at a time.
 class Recording final : public SignalView {
  public:
-  // Throws std::runtime_error naming the line and what is wrong with it: a line that is not like the first, a
-  // value that is no number, a time that goes back.
+  // Reads all of `in`. Throws std::runtime_error with the line and its fault: a number of cells other than
+  // the header's, a value that is not a number, a time before the last one.
   explicit Recording(std::istream& in);
 
-  bool next();  // false: no more
-  TimeUs at() const { return times_[at_ - 1]; }
-  // A signal that the recording lacks can't be told.
+  bool next();  // moves to the next sample, the first at the first call; false: there is none
+  TimeUs at() const { return times_[rows_read_ - 1]; }
+  // Of the current sample, whatever `now` is; nothing: the cell is empty or the signal is not recorded.
   std::optional<double> value(TimeUs now, const SignalKey& key) const override;
   bool has(const SignalKey& key) const;
 
@@ -52,7 +53,7 @@
   std::vector<std::string> columns_;
   std::vector<TimeUs> times_;
   std::vector<std::vector<std::optional<double>>> rows_;
-  std::size_t at_ = 0;
+  std::size_t rows_read_ = 0;
 };
 
 }  // namespace orchidgw::service_level
--- a/src/service_level/service_level.cpp
+++ b/src/service_level/service_level.cpp
@@ -8,15 +8,15 @@
 namespace orchidgw::service_level {
 namespace {
 
-void collect(const Condition& condition, std::vector<SignalKey>& to) {
-  if (condition.kind == Condition::Kind::kLeaf) {
+void collect_signals(const Condition& condition, std::vector<SignalKey>& to) {
+  if (condition.kind == Condition::Kind::kComparison) {
     if (std::find(to.begin(), to.end(), condition.key) == to.end()) to.push_back(condition.key);
     return;
   }
-  for (const Condition& part : condition.parts) collect(part, to);
+  for (const Condition& part : condition.parts) collect_signals(part, to);
 }
 
-void add(Combined& to, const Effects& effects) {
+void add_effects(Combined& to, const Effects& effects) {
   to.no_second_copies = to.no_second_copies || effects.no_second_copies;
   to.no_further_attempts = to.no_further_attempts || effects.no_further_attempts;
   if (effects.longest_hold > 0)
@@ -26,17 +26,18 @@
   to.priority += effects.priority;
 }
 
-std::uint64_t mixed(std::uint64_t x) {
+std::uint64_t mix_bits(std::uint64_t x) {
   x = (x ^ (x >> 30)) * 0xbf58476d1ce4e5b9ULL;
   x = (x ^ (x >> 27)) * 0x94d049bb133111ebULL;
   return x ^ (x >> 31);
 }
 
-double unit(std::uint64_t bits) { return static_cast<double>(mixed(bits) >> 11) * 0x1p-53; }
+double to_unit_interval(std::uint64_t bits) { return static_cast<double>(mix_bits(bits) >> 11) * 0x1p-53; }
 
 std::uint64_t hash_of(const ShedQuery& query) {
   const std::hash<std::string_view> hash;
-  return mixed(hash(query.identity)) ^ mixed(hash(query.class_name) + 1) ^ mixed(hash(query.tenant) + 2);
+  return mix_bits(hash(query.identity)) ^ mix_bits(hash(query.class_name) + 1) ^
+         mix_bits(hash(query.tenant) + 2);
 }
 
 bool matches(const Shed& shed, const ShedQuery& query) {
@@ -49,25 +50,26 @@
 std::vector<SignalKey> signals_of(const LevelFile& file) {
   std::vector<SignalKey> out;
   for (const Level& level : file.levels) {
-    collect(level.enter, out);
-    collect(level.leave, out);
+    collect_signals(level.enter, out);
+    collect_signals(level.leave, out);
   }
   return out;
 }
 
-// Looks at the levels in force at each question: a query that began before a level is under it too. It can
-// forbid and shorten, as all limits.
-class ServiceLevel::Leveled final : public QueryLimits {
+// Looks up the active levels at each call, so that a level also applies to queries accepted before it was
+// entered. Like all limits it can only forbid and shorten.
+class ServiceLevel::LevelQueryLimits final : public QueryLimits {
  public:
-  Leveled(std::shared_ptr<const QueryLimits> inner, std::shared_ptr<const InForce> in_force,
-          std::string tenant, TimeUs taken_at)
+  LevelQueryLimits(std::shared_ptr<const QueryLimits> inner,
+                   std::shared_ptr<const ActiveEffects> active_effects, std::string tenant,
+                   TimeUs accepted_at)
       : inner_(std::move(inner)),
-        in_force_(std::move(in_force)),
+        active_effects_(std::move(active_effects)),
         tenant_(std::move(tenant)),
-        taken_at_(taken_at) {}
+        accepted_at_(accepted_at) {}
 
   bool may_send(TimeUs now, int sent, int in_flight) const override {
-    if (sent > 0 && now_forbids(in_flight > 0)) return false;
+    if (sent > 0 && forbids_attempt(in_flight > 0)) return false;
     return !inner_ || inner_->may_send(now, sent, in_flight);
   }
   bool may_follow(TimeUs now, OutcomeKind last, int sent) const override {
@@ -80,26 +82,26 @@
   TimeUs hold_until(TimeUs last) const override {
     const TimeUs until = inner_ ? inner_->hold_until(last) : last;
     const TimeUs longest = effects().longest_hold;
-    return longest > 0 ? std::min(until, taken_at_ + longest) : until;
+    return longest > 0 ? std::min(until, accepted_at_ + longest) : until;
   }
   bool copy_due(TimeUs now, TimeUs sent_at, int sent) const override {
-    return inner_ && !now_forbids(true) && inner_->copy_due(now, sent_at, sent);
+    return inner_ && !forbids_attempt(true) && inner_->copy_due(now, sent_at, sent);
   }
 
  private:
   const Combined& effects() const {
-    const auto it = in_force_->by_tenant.find(tenant_);
-    return it == in_force_->by_tenant.end() ? in_force_->general : it->second;
+    const auto it = active_effects_->by_tenant.find(tenant_);
+    return it == active_effects_->by_tenant.end() ? active_effects_->general : it->second;
   }
-  bool now_forbids(bool copy) const {
-    const Combined& e = effects();
-    return e.no_further_attempts || (copy && e.no_second_copies);
+  bool forbids_attempt(bool copy) const {
+    const Combined& active = effects();
+    return active.no_further_attempts || (copy && active.no_second_copies);
   }
 
   std::shared_ptr<const QueryLimits> inner_;
-  std::shared_ptr<const InForce> in_force_;
+  std::shared_ptr<const ActiveEffects> active_effects_;
   std::string tenant_;
-  TimeUs taken_at_;
+  TimeUs accepted_at_;
 };
 
 void ServiceLevel::put_in_force(TimeUs now, std::shared_ptr<const LevelFile> file) {
@@ -116,7 +118,7 @@
         if (level.tenant == tenant) levels.push_back(&level);
       Scope scope{tenant, std::make_unique<Ladder>(std::move(levels), file->trial, file->changes)};
       for (const Scope& before : scopes_)
-        if (before.tenant == tenant) scope.ladder->take_over(*before.ladder);
+        if (before.tenant == tenant) scope.ladder->adopt_state(*before.ladder);
       if (file->manual && file->manual->until > now)
         scope.ladder->set_by_hand(file->manual->level, file->manual->until);
       scopes.push_back(std::move(scope));
@@ -129,13 +131,13 @@
   }
   scopes_ = std::move(scopes);
   file_ = std::move(file);
-  // Guards against names that gather over reloads.
+  // Guards against names that accumulate over reloads.
   if (!file_) time_in_.clear();
   std::erase_if(time_in_, [&](const auto& entry) {
     const auto dot = entry.first.rfind('.');
     return !has_level(dot == std::string::npos ? entry.first : entry.first.substr(dot + 1));
   });
-  renew_effects();
+  recompute_effects();
 }
 
 std::vector<Change> ServiceLevel::sample(TimeUs now, const Readings& readings) {
@@ -151,49 +153,49 @@
         passed;
     if (auto change = scope.ladder->sample(now, *meters_)) changes.push_back(std::move(*change));
   }
-  if (!changes.empty()) renew_effects();
+  if (!changes.empty()) recompute_effects();
   return changes;
 }
 
-// Of a ladder all levels up to its own act: a level adds to those below it.
-void ServiceLevel::renew_effects() {
-  *in_force_ = {};
-  const auto add_all = [&](const Scope& scope, Combined& to) {
+// In a ladder, the active level and all below it apply: a level adds to those below it.
+void ServiceLevel::recompute_effects() {
+  *active_effects_ = {};
+  const auto add_active_effects = [&](const Scope& scope, Combined& to) {
     if (!file_) return;
-    std::size_t at = 0;
+    std::size_t position = 0;
     for (const Level& level : file_->levels)
-      if (level.tenant == scope.tenant && at++ < scope.ladder->height()) add(to, level.effects);
+      if (level.tenant == scope.tenant && position++ < scope.ladder->height()) add_effects(to, level.effects);
   };
   for (const Scope& scope : scopes_)
-    if (scope.tenant.empty()) add_all(scope, in_force_->general);
+    if (scope.tenant.empty()) add_active_effects(scope, active_effects_->general);
   for (const Scope& scope : scopes_) {
     if (scope.tenant.empty()) continue;
-    Combined& own = in_force_->by_tenant[scope.tenant];
-    own = in_force_->general;
-    add_all(scope, own);
+    Combined& own = active_effects_->by_tenant[scope.tenant];
+    own = active_effects_->general;
+    add_active_effects(scope, own);
   }
 }
 
-double ServiceLevel::roll(const ShedQuery& query, const Ladder& ladder) const {
-  // Anew with each change, so that it is not always the same clients; the same while the level holds, so that
-  // asking again changes nothing.
-  return unit(hash_of(query) + 0x9e3779b97f4a7c15ULL * (ladder.changes_made() + 1));
+double ServiceLevel::shed_draw(const ShedQuery& query, const Ladder& ladder) const {
+  // Differs after each change of level, so that not always the same clients are shed; constant while the
+  // level is active, so that a retry gets the same answer.
+  return to_unit_interval(hash_of(query) + 0x9e3779b97f4a7c15ULL * (ladder.changes_made() + 1));
 }
 
 const Level* ServiceLevel::sheds(const ShedQuery& query) const {
-  if (query.keyed_repeat) return nullptr;
+  if (query.keyed_retry) return nullptr;
   for (const Scope& scope : scopes_) {
     if (scope.ladder->height() == 0) continue;
     if (!scope.tenant.empty() && scope.tenant != query.tenant) continue;
-    const double rolled = roll(query, *scope.ladder);
-    std::size_t at = 0;
+    const double draw = shed_draw(query, *scope.ladder);
+    std::size_t position = 0;
     for (const Level& level : file_->levels) {
       if (level.tenant != scope.tenant) continue;
-      if (at++ >= scope.ladder->height()) break;
-      const bool top = at == scope.ladder->height();
-      const double in = top ? scope.ladder->let_in_part() : 0;
+      if (position++ >= scope.ladder->height()) break;
+      const bool is_highest = position == scope.ladder->height();
+      const double admitted = is_highest ? scope.ladder->admitted_share() : 0;
       for (const Shed& shed : level.effects.shed)
-        if (matches(shed, query) && rolled < shed.share * (1 - in)) return &level;
+        if (matches(shed, query) && draw < shed.share * (1 - admitted)) return &level;
     }
   }
   return nullptr;
@@ -204,30 +206,30 @@
 }
 
 TimeUs ServiceLevel::come_back_in(const ShedQuery& query, TimeUs most) const {
-  const double part = 0.5 + 0.5 * unit(hash_of(query) ^ static_cast<std::uint64_t>(last_sample_));
+  const double part = 0.5 + 0.5 * to_unit_interval(hash_of(query) ^ static_cast<std::uint64_t>(last_sample_));
   return static_cast<TimeUs>(part * static_cast<double>(most));
 }
 
 Combined ServiceLevel::effects_for(std::string_view tenant) const {
-  const auto it = in_force_->by_tenant.find(tenant);
-  return it == in_force_->by_tenant.end() ? in_force_->general : it->second;
+  const auto it = active_effects_->by_tenant.find(tenant);
+  return it == active_effects_->by_tenant.end() ? active_effects_->general : it->second;
 }
 
 double ServiceLevel::limits_scale() const {
   double scale = 1;
   for (const Scope& scope : scopes_) {
     if (!scope.tenant.empty()) continue;
-    std::size_t at = 0;
+    std::size_t position = 0;
     for (const Level& level : file_->levels)
-      if (level.tenant.empty() && at++ < scope.ladder->height()) scale *= level.effects.limits;
+      if (level.tenant.empty() && position++ < scope.ladder->height()) scale *= level.effects.limits;
   }
   return scale;
 }
 
 std::shared_ptr<const QueryLimits> ServiceLevel::over(std::shared_ptr<const QueryLimits> inner,
-                                                      const std::string& tenant, TimeUs taken_at) const {
+                                                      const std::string& tenant, TimeUs accepted_at) const {
   if (!on()) return inner;
-  return std::make_shared<const Leveled>(std::move(inner), in_force_, tenant, taken_at);
+  return std::make_shared<const LevelQueryLimits>(std::move(inner), active_effects_, tenant, accepted_at);
 }
 
 std::string ServiceLevel::general_level() const {
@@ -254,9 +256,10 @@
     const Level* level = ladder.level();
     out += "level " + (scope.tenant.empty() ? "" : "of tenant " + scope.tenant + " ") +
            (level != nullptr ? level->name : kFullService);
-    if (ladder.since() > 0) out += " for " + std::to_string((now - ladder.since()) / 1'000'000) + " s";
-    if (ladder.let_in_part() > 0)
-      out += ", trial with " + std::to_string(std::lround(ladder.let_in_part() * 100)) + "% let in";
+    if (ladder.level_since() > 0)
+      out += " for " + std::to_string((now - ladder.level_since()) / 1'000'000) + " s";
+    if (ladder.admitted_share() > 0)
+      out += ", trial with " + std::to_string(std::lround(ladder.admitted_share() * 100)) + "% let in";
     out += ", changes " + std::to_string(ladder.changes_made()) + "\n";
   }
   if (scopes_.empty()) out = "no levels in the operators' file\n";
--- a/src/service_level/service_level.h
+++ b/src/service_level/service_level.h
@@ -1,6 +1,6 @@
-// The service-level station: the ladders of levels in force, what they shed, and what else they do to a
-// query. It owns the meters and the ladders' state. No I/O, no clock. Without levels in the operators' file
-// it does nothing.
+// Reduced service levels: decides which levels are active, which queries they shed, and what else they do to
+// a query. Owns the meters and the state of the ladders. No I/O, no clock. Does nothing without levels in the
+// operator file.
 #pragma once
 
 #include <map>
@@ -13,64 +13,68 @@
 
 namespace orchidgw::service_level {
 
-// What all levels in force do to the queries of one tenant, together.
+// The effects of all active levels together on the queries of one tenant.
 struct Combined {
   bool no_second_copies = false;
   bool no_further_attempts = false;
-  TimeUs longest_hold = 0;
-  double grants = 1;
-  int priority = 0;
+  TimeUs longest_hold = 0;  // the shortest of the levels'; 0: none
+  double grants = 1;        // product of the levels' factors
+  int priority = 0;         // sum of the levels'
 };
 
-// A query as shedding sees it.
+// What shedding needs to know of a query.
 struct ShedQuery {
   std::string_view class_name;
   std::string_view tenant;
-  std::string_view identity;  // the same for all tries of one request: its key, else its statement
-  bool keyed_repeat = false;  // an earlier try of it may have run
+  std::string_view identity;  // the same for all retries of a request: its key, else its statement
+  bool keyed_retry = false;   // a retry with a key: an earlier try may have run
 };
 
-// Read once a sample.
+// What the caller measures for each sample.
 struct Readings {
-  std::size_t line = 0;
-  TimeUs line_age = 0;
-  TimeUs loop_lag = 0;
-  double buffers = 0;
+  std::size_t line = 0;  // queries of which no attempt was sent yet
+  TimeUs line_age = 0;   // wait of the oldest of them
+  TimeUs loop_lag = 0;   // how late the event loop's timers fire
+  double buffers = 0;    // share of the buffer memory in use
 };
 
-inline constexpr TimeUs kSampleEvery = 250'000;
+inline constexpr TimeUs kSampleEvery = 250'000;  // microseconds
 
 class ServiceLevel {
  public:
-  // Null: no levels. Levels of the same name stay in force with their stay; a level that is gone is left.
+  // Replaces the configuration; null: no levels. An active level whose name the new file has too stays
+  // active, with the time that it has been so; one that the new file lacks is left.
   void put_in_force(TimeUs now, std::shared_ptr<const LevelFile> file);
   bool on() const { return file_ != nullptr; }
   Meters* meters() { return meters_.get(); }  // null: no levels
 
-  // Of every ladder that has the level. "full" is of all.
+  // An operator's override until then, in each ladder that has the level; all have "full".
   void set_by_hand(const std::string& level, TimeUs until);
   bool has_level(const std::string& level) const;
 
-  // The changes since the last sample, in the order of the ladders.
+  // Takes a sample, to be called each kSampleEvery. Returns the changes and trial news of this sample, in the
+  // order of the ladders.
   std::vector<Change> sample(TimeUs now, const Readings& readings);
 
-  // The level that turns the query away; null: none does. A query that may have run by an earlier try is
-  // never shed.
+  // The level that sheds the query; null: none. A query that may have run in an earlier try is never shed:
+  // its refusal would tell the client that it did not run.
   const Level* sheds(const ShedQuery& query) const;
-  bool sheds_any() const;
-  // When who was shed may come back: spread by the query over the second half of `most`.
+  bool sheds_any() const;  // whether any level is active
+  // The time after which the client of a shed query may retry: spread by the query over the second half of
+  // `most`, so that clients don't return all at once.
   TimeUs come_back_in(const ShedQuery& query, TimeUs most) const;
 
   Combined effects_for(std::string_view tenant) const;
-  double limits_scale() const;  // of the general ladder
-  // The query's limits under the levels that hold at each moment; `inner` may be null, and is given back
-  // where there are no levels.
+  double limits_scale() const;  // factor on the limits, from the general ladder's active levels
+  // Wraps the query's limits so that the levels active at each call apply too. `inner` may be null; it is
+  // returned as it is where there are no levels.
   std::shared_ptr<const QueryLimits> over(std::shared_ptr<const QueryLimits> inner, const std::string& tenant,
-                                          TimeUs taken_at) const;
+                                          TimeUs accepted_at) const;
 
-  // The general ladder's level, "full" without one; and the time spent in each so far, by ladder and level.
-  std::string general_level() const;
+  std::string general_level() const;     // the general ladder's level; "full": full service
   std::string status(TimeUs now) const;  // a line for each ladder
+  // Time in each level so far, microseconds; the key is the level's name, for a tenant's ladder
+  // "tenant.level".
   const std::map<std::string, TimeUs>& time_in() const { return time_in_; }
   std::uint64_t changes_made() const;
   const Recorder* recorder() const { return recorder_.get(); }
@@ -80,26 +84,27 @@
     std::string tenant;  // empty: the general ladder
     std::unique_ptr<Ladder> ladder;
   };
-  // What the queries' limits look at while they live, over reloads.
-  struct InForce {
+  // Shared with the wrapped limits of queries, which live on across reloads.
+  struct ActiveEffects {
     std::map<std::string, Combined, std::less<>> by_tenant;
     Combined general;
   };
-  class Leveled;
+  class LevelQueryLimits;
 
-  void renew_effects();
-  double roll(const ShedQuery& query, const Ladder& ladder) const;
+  void recompute_effects();
+  // In [0, 1): the query is shed when it is below the share to shed.
+  double shed_draw(const ShedQuery& query, const Ladder& ladder) const;
 
   std::shared_ptr<const LevelFile> file_;
   std::unique_ptr<Meters> meters_;
   std::unique_ptr<Recorder> recorder_;
   std::vector<Scope> scopes_;
-  std::shared_ptr<InForce> in_force_ = std::make_shared<InForce>();
+  std::shared_ptr<ActiveEffects> active_effects_ = std::make_shared<ActiveEffects>();
   std::map<std::string, TimeUs> time_in_;
   TimeUs last_sample_ = 0;
 };
 
-// All signals that the conditions of a file name, each once.
+// The distinct signals that the conditions of a file name.
 std::vector<SignalKey> signals_of(const LevelFile& file);
 
 }  // namespace orchidgw::service_level
--- a/tests/service_level/bad_levels_test.cpp
+++ b/tests/service_level/bad_levels_test.cpp
@@ -1,10 +1,10 @@
-// Levels that are wrong in one way each, with their line, path and exact reason.
+// Each file has one faulty level; its line, path and exact reason must be reported.
 #include "levels.h"
 
 namespace orchidgw::service_level {
 namespace {
 
-// `enter`, `leave` and `effects` of one level; they stand in lines 5, 6 and 7.
+// A file with one level; its `enter`, `leave` and `effects` are in lines 5, 6 and 7.
 std::string level(const std::string& enter, const std::string& leave, const std::string& effects,
                   const std::string& more = "") {
   return "levels:\n  list:\n  - name: l\n    enter: " + enter + "\n    leave: " + leave +
--- a/tests/service_level/ladder_test.cpp
+++ b/tests/service_level/ladder_test.cpp
@@ -1,4 +1,5 @@
-// One ladder on a clock moved by hand: entering, staying, trials, and what must not make it swing.
+// One ladder on a simulated clock: entering and leaving levels, trials, and inputs that must not make it
+// oscillate.
 #include <cmath>
 
 #include "levels.h"
@@ -15,15 +16,16 @@
     ladder = std::make_unique<Ladder>(levels, file->trial, file->changes);
   }
 
-  // Samples every 250 ms; the changes of level as "t: from -> to", trials as "t: ...".
+  // Samples every 250 ms; records changes of level as "t: from -> to", trial news as "t: reason", t in
+  // seconds.
   void run(TimeUs seconds) {
     for (const TimeUs end = now + seconds * kSecond; now < end;) {
       now += kSampleEvery;
-      note(ladder->sample(now, signals));
+      record_event(ladder->sample(now, signals));
     }
   }
 
-  void note(const std::optional<Change>& change) {
+  void record_event(const std::optional<Change>& change) {
     if (!change) return;
     EXPECT_FALSE(change->reason.empty());
     const std::string at = std::to_string((now - kStart) / kSecond) + ": ";
@@ -61,9 +63,9 @@
   run(4);
   slowdown() = 1;
   run(10);
-  EXPECT_EQ(ladder->let_in_part(), 0.1);
+  EXPECT_EQ(ladder->admitted_share(), 0.1);
   run(4);
-  EXPECT_EQ(ladder->let_in_part(), 0.5);
+  EXPECT_EQ(ladder->admitted_share(), 0.5);
   run(6);
   EXPECT_EQ(ladder->height(), 0U);
   EXPECT_EQ(changes, (std::vector<std::string>{"2: full -> reduced", "20: reduced -> full"}));
@@ -77,10 +79,10 @@
   for (int i = 0; i < 3; ++i) {
     slowdown() = 1;
     const TimeUs from = now;
-    while (ladder->let_in_part() == 0) run(1);
+    while (ladder->admitted_share() == 0) run(1);
     waits.push_back((now - from) / kSecond);
-    slowdown() = 4;  // what was let in brings it back
-    while (ladder->let_in_part() > 0) run(1);
+    slowdown() = 4;  // the admitted share slows the engines down again
+    while (ladder->admitted_share() > 0) run(1);
   }
   EXPECT_LT(waits[0], waits[1] + 3);
   EXPECT_GE(waits[1], 9);
@@ -89,23 +91,23 @@
   EXPECT_EQ(changes.size(), 1U);
 }
 
-// Hard case: load round a threshold, every 2 s for ten minutes.
+// Guards against oscillation while the load crosses the threshold every half to five seconds for ten minutes.
 TEST_F(LadderTest, LoadThatHoversAtAThresholdMakesAtMostFourChanges) {
   for (const char* more : {"", "  trial: {parts: [10%, 40%], step: 1s, wait: 1s, wait_most: 2s}\n"}) {
-    for (const double half : {0.5, 1.0, 2.0, 3.0, 5.0}) {
+    for (const double half_period : {0.5, 1.0, 2.0, 3.0, 5.0}) {
       changes.clear();
       ladder_of(one_level(more));
       for (int i = 0; i < 2'400; ++i) {
         now += kSampleEvery;
-        slowdown() = std::fmod(static_cast<double>(i) * 0.25, 2 * half) < half ? 3.4 : 1.3;
-        note(ladder->sample(now, signals));
+        slowdown() = std::fmod(static_cast<double>(i) * 0.25, 2 * half_period) < half_period ? 3.4 : 1.3;
+        record_event(ladder->sample(now, signals));
       }
-      EXPECT_LE(changes.size(), 4U) << half;
+      EXPECT_LE(changes.size(), 4U) << half_period;
     }
   }
 }
 
-// Hard case: two signals in antiphase, of which one always holds.
+// Guards against oscillation with two signals in antiphase, one of which is always past its threshold.
 TEST_F(LadderTest, TwoSignalsInAntiphaseDoNotMakeItSwing) {
   ladder_of(
       "levels:\n  list:\n  - name: reduced\n    enter:\n      any:\n      - {signal: slowdown, above: 3, "
@@ -118,20 +120,20 @@
     const bool first = (i / 16) % 2 == 0;
     signals.values[Signal::kSlowdown] = first ? 3.5 : 1;
     signals.values[Signal::kBuffers] = first ? 0.2 : 0.9;
-    note(ladder->sample(now, signals));
+    record_event(ladder->sample(now, signals));
   }
   EXPECT_LE(changes.size(), 4U);
 }
 
-// Hard case: shedding frees nothing, as the whole fleet is slow: the level lets go and stays away longer each
-// time.
+// Shedding does not free capacity where the whole fleet is slow: the level must be left, and entered again
+// only after a wait that grows each time.
 TEST_F(LadderTest, ALevelThatDoesNotHelpLetsGo) {
   ladder_of(one_level("  trial: {wait: 60s, wait_most: 600s}\n  changes: {most: 100, within: 10m}\n"));
   slowdown() = 6;
   TimeUs reduced = 0;
   for (int i = 0; i < 2'400; ++i) {
     now += kSampleEvery;
-    note(ladder->sample(now, signals));
+    record_event(ladder->sample(now, signals));
     reduced += ladder->height() > 0 ? kSampleEvery : 0;
   }
   ASSERT_GE(changes.size(), 4U);
@@ -147,7 +149,7 @@
   signals.values.clear();
   run(60);
   EXPECT_EQ(ladder->height(), 0U);
-  EXPECT_NE(trials[0].find("slowdown can't be told: nothing comes"), std::string::npos) << trials[0];
+  EXPECT_NE(trials[0].find("slowdown is unknown: no data"), std::string::npos) << trials[0];
   run(60);
   EXPECT_EQ(ladder->height(), 0U);
 }
@@ -156,7 +158,7 @@
   ladder_of(one_level("    longest_stay: 40s\n"));
   slowdown() = 4;
   run(4);
-  slowdown() = 2;  // neither bad nor calm
+  slowdown() = 2;  // past neither threshold
   run(35);
   EXPECT_TRUE(trials.empty());
   run(60);
@@ -173,14 +175,14 @@
   EXPECT_EQ(changes, (std::vector<std::string>{"2: full -> reduced", "12: reduced -> bare"}));
 }
 
-// Hard case: a stalled loop brings a second's signals in one batch.
+// Guards against entering a level after a stall of the event loop: the time that passed counts only in part.
 TEST_F(LadderTest, AStallCountsForNoMoreThanAMoment) {
   ladder_of(one_level());
   slowdown() = 1;
   run(1);
   slowdown() = 4;
   now += 10 * kSecond;
-  note(ladder->sample(now, signals));
+  record_event(ladder->sample(now, signals));
   EXPECT_EQ(ladder->height(), 0U);
 }
 
@@ -214,9 +216,9 @@
   const auto before_file = file;
   const auto before = std::move(ladder);
   ladder_of(one_level());
-  ladder->take_over(*before);
+  ladder->adopt_state(*before);
   EXPECT_EQ(ladder->height(), 1U);
-  EXPECT_EQ(ladder->since(), before->since());
+  EXPECT_EQ(ladder->level_since(), before->level_since());
 }
 
 TEST_F(LadderTest, ALevelThatIsRenamedIsLeft) {
@@ -228,7 +230,7 @@
   ladder_of(
       "levels:\n  list:\n  - name: other\n    enter: {signal: slowdown, above: 9, for: 2s}\n"
       "    leave: {signal: slowdown, below: 1.5}\n    effects: {shed: [{class: report}]}\n");
-  ladder->take_over(*before);
+  ladder->adopt_state(*before);
   EXPECT_EQ(ladder->height(), 0U);
   run(30);
   EXPECT_EQ(ladder->height(), 0U);
--- a/tests/service_level/levels.h
+++ b/tests/service_level/levels.h
@@ -1,4 +1,4 @@
-// Levels from a file's text, and signals set by hand, for the tests of service levels.
+// For the tests of service levels: levels from the text of an operator file, and signals that the test sets.
 #pragma once
 
 #include <map>
@@ -16,6 +16,7 @@
 
 inline constexpr TimeUs kStart = 1'000 * kSecond;
 
+// The faults of an operator file with this body, as lines "f:line:column: path: reason".
 inline std::vector<std::string> level_faults(const std::string& body,
                                              Settings settings = limits::deployment()) {
   const auto read = operator_file::read_operator_file(limits::whole_file(body));
@@ -26,13 +27,14 @@
   return out;
 }
 
+// The levels of a body that must have no faults.
 inline std::shared_ptr<const LevelFile> levels_of(const std::string& body) {
   EXPECT_EQ(level_faults(body), std::vector<std::string>{});
   return std::make_shared<const LevelFile>(
       operator_file::read_operator_file(limits::whole_file(body)).file.levels);
 }
 
-// Signals of the whole gateway, as the test sets them; one that is not set can't be told.
+// Signals with the values that the test sets; one that is not set is unknown. Class and tenant are ignored.
 class HandSignals final : public SignalView {
  public:
   std::optional<double> value(TimeUs, const SignalKey& key) const override {
--- a/tests/service_level/service_level_test.cpp
+++ b/tests/service_level/service_level_test.cpp
@@ -1,5 +1,5 @@
-// What levels do to queries: who is shed, when to come back, what else holds; and how the signals are
-// measured.
+// What levels do to queries: who is shed, with which retry-after, and other effects; and how signals are
+// measured and recorded.
 #include <list>
 #include <set>
 #include <sstream>
@@ -16,7 +16,7 @@
     run_until_entered();
   }
 
-  // Slow answers until a level holds.
+  // Reports slow attempts until a level is active.
   void run_until_entered() {
     for (int i = 0; i < 200 && !levels.sheds_any(); ++i) {
       now += kSampleEvery;
@@ -27,8 +27,8 @@
   }
 
   ShedQuery report(const std::string& identity, const std::string& tenant = "acme") {
-    kept.push_back(identity);
-    return {"report", tenant, kept.back(), false};
+    identities.push_back(identity);
+    return {"report", tenant, identities.back(), false};
   }
 
   std::string with_share(const std::string& shed, const std::string& more = "") {
@@ -40,7 +40,7 @@
 
   ServiceLevel levels;
   TimeUs now = kStart;
-  std::list<std::string> kept;
+  std::list<std::string> identities;
 };
 
 TEST_F(ServiceLevelTest, WithoutLevelsItDoesNothing) {
@@ -60,7 +60,7 @@
   EXPECT_EQ(levels.sheds(lookup), nullptr);
 }
 
-// Guards against clients that get through by asking again.
+// Guards against clients that get past shedding by retrying.
 TEST_F(ServiceLevelTest, ARepeatGetsTheSameAnswer) {
   enter(with_share("{class: report, share: 50%}"));
   for (int i = 0; i < 200; ++i) {
@@ -70,14 +70,14 @@
   }
 }
 
-// Hard case: a refusal would tell the client that its earlier try never ran.
+// Guards against a refusal that would tell the client that its earlier try never ran.
 TEST_F(ServiceLevelTest, AKeyThatMayHaveRunIsNeverShed) {
   enter(with_share("{class: load}"));
   EXPECT_NE(levels.sheds({"load", "acme", "key", false}), nullptr);
   EXPECT_EQ(levels.sheds({"load", "acme", "key", true}), nullptr);
 }
 
-// Hard case: a flood of one tenant lowers service for that tenant alone.
+// Guards against one tenant's flood reducing service for other tenants.
 TEST_F(ServiceLevelTest, ALevelOfATenantMeetsThatTenantAlone) {
   enter(with_share("{class: report}", "    tenant: beta\n"));
   EXPECT_NE(levels.sheds(report("x", "beta")), nullptr);
@@ -129,7 +129,7 @@
   run_until_entered();
   EXPECT_FALSE(limits->may_send(now, 1, 0));
   EXPECT_FALSE(limits->may_follow(now, OutcomeKind::kError, 1));
-  EXPECT_TRUE(limits->may_send(now, 0, 0));  // the first attempt is no further one
+  EXPECT_TRUE(limits->may_send(now, 0, 0));  // the first attempt is not a further one
   EXPECT_EQ(limits->hold_until(taken + kSecond), taken + 100 * kMs);
   EXPECT_EQ(levels.limits_scale(), 0.5);
 }
@@ -171,7 +171,7 @@
   for (int i = 0; i < 6; ++i) meters.answered(kStart, "lookup", "acme", false);
   meters.answered(kStart, "report", "acme", true);
   EXPECT_NEAR(*meters.value(kStart, late), 0.4, 1e-9);
-  EXPECT_FALSE(meters.value(kStart + 60 * kSecond, late));  // faded: nothing comes any more
+  EXPECT_FALSE(meters.value(kStart + 60 * kSecond, late));  // decayed: no new data
   for (int i = 0; i <= 100; ++i) meters.taken(kStart + i * 100 * kMs, "lookup", "beta");
   EXPECT_NEAR(*meters.value(kStart + 10 * kSecond, arrivals), 10, 2);
 }
@@ -195,11 +195,11 @@
   const SignalKey late{Signal::kLateShare, "lookup", "beta", 2 * kSecond};
   Recorder recorder({slow, late});
   HandSignals signals;
-  for (std::size_t i = 0; i < Recorder::kSamplesMost + 10; ++i) {
+  for (std::size_t i = 0; i < Recorder::kMaxSamples + 10; ++i) {
     signals.values[Signal::kSlowdown] = static_cast<double>(i);
     recorder.record(kStart + static_cast<TimeUs>(i) * kSampleEvery, signals);
   }
-  EXPECT_EQ(recorder.samples(), Recorder::kSamplesMost);
+  EXPECT_EQ(recorder.samples(), Recorder::kMaxSamples);
   std::stringstream csv;
   recorder.write(csv, "");
   Recording recording(csv);
@@ -210,7 +210,7 @@
     EXPECT_FALSE(recording.value(0, late));
     EXPECT_EQ(recording.at(), kStart + static_cast<TimeUs>(n + 10) * kSampleEvery);
   }
-  EXPECT_EQ(n, Recorder::kSamplesMost);
+  EXPECT_EQ(n, Recorder::kMaxSamples);
 }
 
 TEST(Recorder, ABadRecordingNamesItsLine) {
@@ -223,11 +223,11 @@
     }
     return std::string("good");
   };
-  EXPECT_EQ(why(""), "line 1: empty: a first line with the signals' names is wanted");
+  EXPECT_EQ(why(""), "line 1: empty: expected a header line with the signal names");
   EXPECT_EQ(why("time,slowdown/-/-/5000\n"), "line 1: the first column must be time_ms");
-  EXPECT_EQ(why("time_ms,a\n1,2\n1,2,3\n"), "line 3: 2 values are wanted, 3 stand here");
-  EXPECT_EQ(why("time_ms,a\n1,x\n"), "line 2: a is no number");
-  EXPECT_EQ(why("time_ms,a\n2,1\n1,1\n"), "line 3: the time goes back");
+  EXPECT_EQ(why("time_ms,a\n1,2\n1,2,3\n"), "line 3: 2 values expected, 3 found");
+  EXPECT_EQ(why("time_ms,a\n1,x\n"), "line 2: a is not a number");
+  EXPECT_EQ(why("time_ms,a\n2,1\n1,1\n"), "line 3: the time goes backwards");
   EXPECT_EQ(why("time_ms,a\n1,\n2,0.5\n"), "good");
 }
 
