--- a/src/service_level/check.cpp
+++ b/src/service_level/check.cpp
@@ -49,14 +49,14 @@
 
   void check_class_known(const std::string& name, Place place, const std::string& path) {
     if (name.empty()) return;
-    const auto has_name = [&](const ClassSettings& condition) { return condition.name == name; };
+    const auto has_name = [&](const ClassSettings& query_class) { return query_class.name == name; };
     if (std::none_of(settings_.classes.begin(), settings_.classes.end(), has_name))
       add_fault(place, path, "the settings have no class '" + name + "'");
   }
 
   void check_tenant_known(const std::string& name, Place place, const std::string& path) {
     if (name.empty() || settings_.tenants.empty()) return;
-    const auto has_name = [&](const TenantSettings& t) { return t.name == name; };
+    const auto has_name = [&](const TenantSettings& tenant) { return tenant.name == name; };
     if (std::none_of(settings_.tenants.begin(), settings_.tenants.end(), has_name))
       add_fault(place, path, "the settings have no tenant '" + name + "'");
   }
--- a/src/service_level/ladder.cpp
+++ b/src/service_level/ladder.cpp
@@ -14,9 +14,9 @@
 constexpr double kNoHelpShare = 0.9;
 constexpr int kMaxDoublings = 10;
 
-TimeUs doubled_wait(TimeUs wait, int times, TimeUs most) {
-  for (int i = 0; i < std::min(times, kMaxDoublings); ++i) wait = std::min(2 * wait, most);
-  return std::min(wait, most);
+TimeUs doubled_wait(TimeUs wait, int times, TimeUs longest) {
+  for (int i = 0; i < std::min(times, kMaxDoublings); ++i) wait = std::min(2 * wait, longest);
+  return std::min(wait, longest);
 }
 
 std::string format_value(Signal signal, double value) {
@@ -84,9 +84,9 @@
     return condition.above ? *last_value_ / condition.threshold
                            : condition.threshold / std::max(*last_value_, 1e-9);
   }
-  double most = 0;
-  for (const ConditionTracker& part : parts_) most = std::max(most, part.excess());
-  return most;
+  double highest = 0;
+  for (const ConditionTracker& part : parts_) highest = std::max(highest, part.excess());
+  return highest;
 }
 
 Ladder::Ladder(std::vector<const Level*> levels, const Trial& trial, const ChangeBound& changes)
@@ -150,7 +150,7 @@
     override_until_ = 0;
     if (position_ == 0) return std::nullopt;
     phase_ = Phase::kSteady;  // from now on the level is left like any other
-    return trial_event(now, "the level set by hand has expired");
+    return trial_event(now, "the time of the level set by hand is over");
   }
   const std::size_t to = *position_of(override_level_);
   if (to == position_) return std::nullopt;
--- a/src/service_level/ladder.h
+++ b/src/service_level/ladder.h
@@ -1,6 +1,6 @@
 // One ladder of service levels: which level is active, and why. Levels are entered one at a time, each once
 // its `enter` condition has held for the stated time. A level is left by a trial that admits a growing share
-// of the shed queries and watches the signals after each step. Hysteresis comes from hold times and from
+// of the shed queries and watches the signals during each step. Hysteresis comes from hold times and from
 // separate thresholds for entering and leaving; the number of changes in a window is limited whatever the
 // signals do. No I/O, no clock.
 #pragma once
@@ -38,13 +38,13 @@
   bool holds_ = false;
 };
 
-// A change of level, or news of a trial.
+// A change of level, or an event at an unchanged level.
 struct Change {
   std::string from;
   std::string to;
   std::string reason;
   TimeUs stayed = 0;   // time in `from` so far, microseconds
-  bool trial = false;  // the level is unchanged (`to` is `from`): a trial began, went on, or failed
+  bool trial = false;  // `to` is `from`: a trial began, went on or failed, or an override expired
 };
 
 class Ladder {
@@ -55,9 +55,8 @@
   // Reads the signals once and makes at most one change. The first sample only sets the time.
   std::optional<Change> sample(TimeUs now, const SignalView& view);
 
-  const Level* level() const {
-    return position_ == 0 ? nullptr : levels_[position_ - 1];
-  }                                                 // null: full service
+  // The highest active level; null: full service.
+  const Level* level() const { return position_ == 0 ? nullptr : levels_[position_ - 1]; }
   std::size_t height() const { return position_; }  // how many levels are active
   TimeUs level_since() const { return level_since_; }
   // Share of the queries that the highest active level sheds which a trial admits; 0 without a trial.
@@ -92,7 +91,7 @@
   TimeUs level_since_ = 0;
   TimeUs last_sample_ = 0;
   Phase phase_ = Phase::kSteady;
-  std::size_t trial_part_ = 0;
+  std::size_t trial_part_ = 0;  // index in the trial's parts
   TimeUs trial_part_since_ = 0;
   TimeUs longest_stay_from_ = 0;  // the longest stay counts from here: the entry, or the last failed trial
   TimeUs next_trial_at_ = 0;
--- a/src/service_level/level.h
+++ b/src/service_level/level.h
@@ -18,10 +18,10 @@
 enum class Signal {
   kQueueLength,    // queries of which no attempt was sent yet
   kQueueAge,       // wait of the oldest of them
-  kRefusedShare,   // refused queries, of those that no level shed
-  kLateShare,      // of the answered queries: later than the latency target, or failed
+  kRefusedShare,   // share of refused queries among those that no level shed
+  kLateShare,      // share of answered queries that were past their latency target or failed
   kArrivals,       // queries per second, including shed ones
-  kSlowdown,       // attempts' mean of run time / expected run time, all engines
+  kSlowdown,       // mean of time / expected time of successful attempts, all engines
   kSlowestEngine,  // slowdown of the slowest engine / mean slowdown of all
   kInService,      // share of the listed engines that are in service
   kLoopLag,        // how late the event loop's timers fire
@@ -83,7 +83,7 @@
   Condition enter;
   Condition leave;
   TimeUs least_stay = 30'000'000;
-  TimeUs longest_stay = 600'000'000;  // after it a trial begins, whatever the signals say
+  TimeUs longest_stay = 600'000'000;  // after it a trial begins even if `leave` does not hold
   Effects effects;
 };
 
--- a/src/service_level/recorder.cpp
+++ b/src/service_level/recorder.cpp
@@ -74,7 +74,7 @@
 
 Recording::Recording(std::istream& in) {
   std::string line;
-  if (!std::getline(in, line)) fail_at_line(1, "empty: expected a header line with the signal names");
+  if (!std::getline(in, line)) fail_at_line(1, "empty: expected a first line with the signals' names");
   for (const std::string_view cell : split_cells(line)) columns_.emplace_back(cell);
   if (columns_[0] != "time_ms") fail_at_line(1, "the first column must be time_ms");
   for (std::size_t line_number = 2; std::getline(in, line); ++line_number) {
--- a/src/service_level/service_level.h
+++ b/src/service_level/service_level.h
@@ -52,8 +52,8 @@
   void set_by_hand(const std::string& level, TimeUs until);
   bool has_level(const std::string& level) const;
 
-  // Takes a sample, to be called each kSampleEvery. Returns the changes and trial news of this sample, in the
-  // order of the ladders.
+  // Takes a sample, to be called each kSampleEvery. Returns the events of this sample, in the order of the
+  // ladders.
   std::vector<Change> sample(TimeUs now, const Readings& readings);
 
   // The level that sheds the query; null: none. A query that may have run in an earlier try is never shed:
@@ -73,8 +73,7 @@
 
   std::string general_level() const;     // the general ladder's level; "full": full service
   std::string status(TimeUs now) const;  // a line for each ladder
-  // Time in each level so far, microseconds; the key is the level's name, for a tenant's ladder
-  // "tenant.level".
+  // Microseconds in each level so far; the key is the level's name, in a tenant's ladder "tenant.level".
   const std::map<std::string, TimeUs>& time_in() const { return time_in_; }
   std::uint64_t changes_made() const;
   const Recorder* recorder() const { return recorder_.get(); }
--- a/tests/service_level/ladder_test.cpp
+++ b/tests/service_level/ladder_test.cpp
@@ -16,7 +16,7 @@
     ladder = std::make_unique<Ladder>(levels, file->trial, file->changes);
   }
 
-  // Samples every 250 ms; records changes of level as "t: from -> to", trial news as "t: reason", t in
+  // Samples every 250 ms; records changes of level as "t: from -> to", other events as "t: reason", t in
   // seconds.
   void run(TimeUs seconds) {
     for (const TimeUs end = now + seconds * kSecond; now < end;) {
@@ -175,7 +175,8 @@
   EXPECT_EQ(changes, (std::vector<std::string>{"2: full -> reduced", "12: reduced -> bare"}));
 }
 
-// Guards against entering a level after a stall of the event loop: the time that passed counts only in part.
+// After a stall of the event loop, the signals of a second arrive in one batch. Guards against a level that
+// is entered because the whole time since the last sample counts for one sample.
 TEST_F(LadderTest, AStallCountsForNoMoreThanAMoment) {
   ladder_of(one_level());
   slowdown() = 1;
--- a/tests/service_level/service_level_test.cpp
+++ b/tests/service_level/service_level_test.cpp
@@ -223,7 +223,7 @@
     }
     return std::string("good");
   };
-  EXPECT_EQ(why(""), "line 1: empty: expected a header line with the signal names");
+  EXPECT_EQ(why(""), "line 1: empty: expected a first line with the signals' names");
   EXPECT_EQ(why("time,slowdown/-/-/5000\n"), "line 1: the first column must be time_ms");
   EXPECT_EQ(why("time_ms,a\n1,2\n1,2,3\n"), "line 3: 2 values expected, 3 found");
   EXPECT_EQ(why("time_ms,a\n1,x\n"), "line 2: a is not a number");
