--- a/src/service_level/service_level.cpp
+++ b/src/service_level/service_level.cpp
@@ -132,8 +132,8 @@
   scopes_ = std::move(scopes);
   file_ = std::move(file);
   // Guards against names that accumulate over reloads.
-  if (!file_) time_in_.clear();
-  std::erase_if(time_in_, [&](const auto& entry) {
+  if (!file_) time_by_level_.clear();
+  std::erase_if(time_by_level_, [&](const auto& entry) {
     const auto dot = entry.first.rfind('.');
     return !has_level(dot == std::string::npos ? entry.first : entry.first.substr(dot + 1));
   });
@@ -149,7 +149,7 @@
   last_sample_ = now;
   for (const Scope& scope : scopes_) {
     const Level* level = scope.ladder->level();
-    time_in_[(scope.tenant.empty() ? "" : scope.tenant + ".") + (level ? level->name : kFullService)] +=
+    time_by_level_[(scope.tenant.empty() ? "" : scope.tenant + ".") + (level ? level->name : kFullService)] +=
         passed;
     if (auto change = scope.ladder->sample(now, *meters_)) changes.push_back(std::move(*change));
   }
--- a/src/service_level/service_level.h
+++ b/src/service_level/service_level.h
@@ -74,7 +74,7 @@
   std::string general_level() const;     // the general ladder's level; "full": full service
   std::string status(TimeUs now) const;  // a line for each ladder
   // Microseconds in each level so far; the key is the level's name, in a tenant's ladder "tenant.level".
-  const std::map<std::string, TimeUs>& time_in() const { return time_in_; }
+  const std::map<std::string, TimeUs>& time_in() const { return time_by_level_; }
   std::uint64_t changes_made() const;
   const Recorder* recorder() const { return recorder_.get(); }
 
@@ -99,7 +99,7 @@
   std::unique_ptr<Recorder> recorder_;
   std::vector<Scope> scopes_;
   std::shared_ptr<ActiveEffects> active_effects_ = std::make_shared<ActiveEffects>();
-  std::map<std::string, TimeUs> time_in_;
+  std::map<std::string, TimeUs> time_by_level_;
   TimeUs last_sample_ = 0;
 };
 
