--- a/src/admin/admin_command.h
+++ b/src/admin/admin_command.h
@@ -1,4 +1,5 @@
-// The administration's line protocol: one line asks, the answer ends with the connection. No I/O.
+// The line protocol of the administration socket: a request is one line, the answer ends when the connection
+// is closed. No I/O.
 //   status
 //   fleet status
 //   level set NAME SECONDS      NAME as in the operators' file, or "full"; 1 s to a day
@@ -12,19 +13,19 @@
 
 namespace orchidgw::admin {
 
-inline constexpr std::size_t kLineMost = 512;  // bytes, its end included
-inline constexpr TimeUs kLongestByHand = 24LL * 3600 * 1'000'000;
+inline constexpr std::size_t kLineMost = 512;                         // bytes, with the line end
+inline constexpr TimeUs kMaxLevelOverride = 24LL * 3600 * 1'000'000;  // longest time for which a level is set
 
 struct AdminCommand {
   enum class Kind { kStatus, kLevelSet, kFleetStatus };
   Kind kind = Kind::kStatus;
-  std::string level;  // of kLevelSet, as is the one below
-  TimeUs hold = 0;
+  std::string level;  // of kLevelSet
+  TimeUs hold = 0;    // of kLevelSet: for how long the level is set
 };
 
-// Without the line's end. Nothing where it is none of the above; `why` says what is wrong with it.
+// `line`: without the line end. Returns nullopt if it is not a valid command; then `why` says what is wrong.
 std::optional<AdminCommand> parse_admin(std::string_view line, std::string& why);
 
-std::string write_admin(const AdminCommand& command);  // the line, with its end
+std::string format_admin_command(const AdminCommand& command);  // with the line end
 
 }  // namespace orchidgw::admin
--- a/src/base/descriptor.h
+++ b/src/base/descriptor.h
@@ -1,4 +1,4 @@
-// A file descriptor that is closed with its owner.
+// Owns a file descriptor and closes it in the destructor.
 #pragma once
 
 #include <unistd.h>
@@ -23,6 +23,7 @@
   }
 
   int get() const { return fd_; }
+  // Gives up the ownership: the caller has to close the descriptor.
   int release() { return std::exchange(fd_, -1); }
 
  private:
--- a/src/base/reason.h
+++ b/src/base/reason.h
@@ -1,5 +1,5 @@
-// Why a query was turned away, delayed or given up: one enumeration, said alike by log, counters, `explain`
-// and whatever tells clients.
+// Why a query was refused, delayed or ended without an answer. Log, counters, `explain` and answers to
+// clients use the same names.
 #pragma once
 
 #include <array>
@@ -9,24 +9,24 @@
 
 enum class Reason {
   kNone,
-  kDecision,     // the decision module: its aim or time can't be met, or the rules end it
-  kRate,         // the route's rate: no token within the hold
-  kConcurrency,  // the route's bound on queries under way: no place within the hold
-  kLineFull,     // the route's waiting line is full
-  kClosed,       // the route's rate or bound is zero
-  kHeldTooLong,  // the route's longest hold is over
-  kAttempts,     // the route's most attempts
-  kOutcome,      // the route does not try again after such an end
-  kRetryShare,   // the retry budget of the route, or of all
-  kShed,         // a reduced service level sheds it
-  kNoIntent,     // it must not run twice, and no intent of it can be kept
-  kShutDown,     // the gateway shuts down before it could be answered
-  kBacklog,      // its client is not served for the moment, and as many of its calls wait as may
+  kDecision,     // the decision module: the latency target or time budget can't be met, or a rule ends it
+  kRate,         // the route's rate limit: no token within the time that it may wait
+  kConcurrency,  // the route's concurrency limit: no slot became free within that time
+  kLineFull,     // the route's queue is full
+  kClosed,       // the route's rate or concurrency limit is zero
+  kHeldTooLong,  // it waited for as long as the route allows
+  kAttempts,     // the route's maximum number of attempts is reached
+  kOutcome,      // the route does not retry after such an outcome
+  kRetryShare,   // the retry budget of the route, or that of all routes, is used up
+  kShed,         // shed by a reduced service level
+  kNoIntent,     // it must not run twice, and its intent can't be stored
+  kShutDown,     // the gateway shuts down before it can be answered
+  kBacklog,      // reads from its client are paused, and the bound on its waiting calls is reached
 };
-inline constexpr std::size_t kReasons = static_cast<std::size_t>(Reason::kBacklog) + 1;
+inline constexpr std::size_t kReasonCount = static_cast<std::size_t>(Reason::kBacklog) + 1;
 
 inline const char* name_of(Reason reason) {
-  constexpr std::array<const char*, kReasons> kNames = {
+  constexpr std::array<const char*, kReasonCount> kNames = {
       "none",     "decision", "rate",         "concurrency", "line_full", "closed",    "held_too_long",
       "attempts", "outcome",  "retry_budget", "shed",        "no_intent", "shut_down", "backlog"};
   return kNames[static_cast<std::size_t>(reason)];
--- a/src/base/system_call.h
+++ b/src/base/system_call.h
@@ -1,5 +1,5 @@
-// What a failing system call means, for each call and error: the one table, for the start and for service
-// alike. No I/O.
+// Classifies errors of system calls, by call and error code: one table for start-up and normal operation. No
+// I/O.
 #pragma once
 
 #include <array>
@@ -34,10 +34,10 @@
 }
 
 enum class ErrorMeaning {
-  kTryAtOnce,   // interrupted, or the error of a connection that is gone already
-  kNothingNow,  // it would have to wait
-  kTryLater,    // something is lacking that others give back
-  kOver,        // this connection, or this start, is over
+  kTryAtOnce,   // interrupted, or an error of a connection that has already ended
+  kNothingNow,  // the call would block
+  kTryLater,    // lack of a resource that may be freed later
+  kOver,        // permanent: the connection, or the start, has failed
 };
 
 namespace detail {
@@ -49,7 +49,7 @@
 };
 
 inline constexpr std::array kErrorRules = {
-    // Linux passes errors of the new connection on: the next one may wait behind it.
+    // Linux reports pending errors of the new connection here; the next connection may already be waiting.
     ErrorRule{SystemCall::kAccept, ECONNABORTED, ErrorMeaning::kTryAtOnce},
     ErrorRule{SystemCall::kAccept, EPROTO, ErrorMeaning::kTryAtOnce},
     ErrorRule{SystemCall::kAccept, EPERM, ErrorMeaning::kTryAtOnce},
@@ -61,12 +61,12 @@
     ErrorRule{SystemCall::kSend, EAGAIN, ErrorMeaning::kNothingNow},
     // No local port is free.
     ErrorRule{SystemCall::kConnect, EADDRNOTAVAIL, ErrorMeaning::kTryLater},
-    // The process before this one may still hold its folder.
+    // The previous process may still hold the lock on its folder.
     ErrorRule{SystemCall::kLock, EWOULDBLOCK, ErrorMeaning::kTryLater},
     ErrorRule{SystemCall::kLock, ENOLCK, ErrorMeaning::kTryLater},
-    // A limit on watches, or on what a file system has for a moment.
+    // The limit on epoll watches, or a temporary shortage in a file system.
     ErrorRule{SystemCall::kEpoll, ENOSPC, ErrorMeaning::kTryLater},
-    // POCO's event descriptor could not be had.
+    // POCO could not create its event descriptor.
     ErrorRule{SystemCall::kEpoll, EBADF, ErrorMeaning::kTryLater},
     ErrorRule{SystemCall::kFile, EBUSY, ErrorMeaning::kTryLater},
     ErrorRule{SystemCall::kFile, ETXTBSY, ErrorMeaning::kTryLater},
@@ -91,13 +91,14 @@
   }
 }
 
-// A call that failed: which one, for what, and why.
+// A failed system call: which call, on what (`what`: a path, an address), and its errno value.
 class SystemCallError : public std::system_error {
  public:
   SystemCallError(SystemCall call, int error, const std::string& what)
       : std::system_error(error, std::generic_category(), what + ": " + name_of(call)), call_(call) {}
 
   SystemCall call() const { return call_; }
+  // Whether the same call may succeed when it is repeated, now or later.
   bool may_pass() const {
     const ErrorMeaning meaning = meaning_of(call_, code().value());
     return meaning == ErrorMeaning::kTryLater || meaning == ErrorMeaning::kTryAtOnce;
--- a/src/base/time.h
+++ b/src/base/time.h
@@ -1,15 +1,15 @@
-// Time as all packages count it. Instants and spans are microseconds on a clock that nobody sets; the wall
-// clock has a type of its own that does not convert to them, since it may be stepped at any moment.
+// Types for time. Instants and durations are microseconds of a monotonic clock. Wall-clock time has a
+// separate type that does not convert to them, since the wall clock may be stepped at any moment.
 #pragma once
 
 #include <cstdint>
 
 namespace orchidgw {
 
-using TimeUs = std::int64_t;  // a span, or an instant on the clock of whoever tells it; never wall-clock time
+using TimeUs = std::int64_t;  // a duration, or an instant on the clock of its source; never wall-clock time
 
-// A time of day as the system's wall clock, an engine's published start or a log line tells it. Without
-// arithmetic on purpose: an expression that mixes it with an instant does not compile.
+// Wall-clock time, as read from the system's clock, an engine's published start time or a log line. It has no
+// arithmetic, so that an expression that mixes it with an instant does not compile.
 struct WallTime {
   std::int64_t unix_us = 0;  // microseconds since 1970, UTC
   bool operator==(const WallTime&) const = default;
--- a/src/cli/command_line.h
+++ b/src/cli/command_line.h
@@ -1,5 +1,5 @@
-// The command line, on CLI11: which command, and its options. For each option the flag comes before the
-// environment, and that before the files.
+// Parses the command line with CLI11: the command and its options. For each option a flag takes precedence
+// over the environment, and the environment over the files.
 #pragma once
 
 #include <optional>
@@ -11,15 +11,15 @@
 
 namespace orchidgw::cli {
 
-inline constexpr int kGood = 0;
-inline constexpr int kBad = 1;    // what was asked for can't be done, or a file is wrong
-inline constexpr int kUsage = 2;  // the command line is wrong
+inline constexpr int kExitSuccess = 0;
+inline constexpr int kExitFailure = 1;  // the command failed, or a file is invalid
+inline constexpr int kExitUsage = 2;    // the command line is invalid
 
-struct Explain {
+struct ExplainOptions {
   std::string class_name;
   std::string tenant;
   std::string table;
-  bool keyed = false;
+  bool has_key = false;
 };
 
 struct CommandLine {
@@ -37,17 +37,17 @@
   };
   Command command = Command::kServe;
   configuration::Sources sources;
-  Explain explain;
-  std::string signals;  // of kReplay: the recording
-  std::string level;    // of kLevelSet
-  std::int64_t hold_s = 0;
-  StoreCommand store = StoreCommand::kInspect;  // of kStore, as is the one below
-  std::string folder;
-  Recover recover;  // of kFleetRecover
+  ExplainOptions explain;
+  std::string signals_path;                     // of kReplay: the path of the recording, - for standard input
+  std::string level;                            // of kLevelSet
+  std::int64_t duration_s = 0;                  // of kLevelSet, in seconds
+  StoreCommand store = StoreCommand::kInspect;  // of kStore
+  std::string folder;                           // of kStore
+  RecoverOptions recover;                       // of kFleetRecover
 };
 
-// Nothing where the process is to end with `exit_code`: help was asked for, or the line is wrong, and it was
-// said.
+// Returns nullopt if the process has to exit with `exit_code`: help was asked for, or the command line is
+// invalid; the help or the error was printed.
 std::optional<CommandLine> parse(int argc, const char* const* argv, int& exit_code);
 
 }  // namespace orchidgw::cli
--- a/src/cli/commands.cpp
+++ b/src/cli/commands.cpp
@@ -19,7 +19,7 @@
 
 int run_check(const configuration::Sources& sources, std::ostream& out, std::ostream& err) {
   const auto loaded = load(sources, err);
-  if (!loaded) return kBad;
+  if (!loaded) return kExitFailure;
   out << "good: ";
   if (loaded->fleet)
     out << "fleet " << loaded->fleet->name << ": " << loaded->fleet->keepers.size() << " keepers, "
@@ -29,32 +29,32 @@
   } else {
     out << "no operators' file is named\n";
   }
-  return kGood;
+  return kExitSuccess;
 }
 
 int run_explain(const CommandLine& line, std::ostream& out, std::ostream& err) {
   const auto loaded = load(line.sources, err);
-  if (!loaded) return kBad;
+  if (!loaded) return kExitFailure;
   const Settings& settings = loaded->controller.settings;
   const auto it = std::find_if(settings.classes.begin(), settings.classes.end(),
-                               [&](const ClassSettings& c) { return c.name == line.explain.class_name; });
+                               [&](const ClassSettings& one) { return one.name == line.explain.class_name; });
   if (it == settings.classes.end()) {
     err << "orchidgw: --class: the settings have no class '" << line.explain.class_name << "'\n";
-    return kBad;
+    return kExitFailure;
   }
-  const Explain& query = line.explain;
+  const ExplainOptions& options = line.explain;
   const auto explained =
       limits::explain(settings, loaded->limits.get(), static_cast<int>(it - settings.classes.begin()),
-                      query.tenant, query.table, query.keyed);
+                      options.tenant, options.table, options.has_key);
   out << "route: " << explained.route << '\n';
-  for (const limits::Explained& one : explained.limits)
-    out << std::left << std::setw(22) << one.field << std::setw(44) << one.value << one.set_by << '\n';
-  return kGood;
+  for (const limits::Explained& limit : explained.limits)
+    out << std::left << std::setw(22) << limit.field << std::setw(44) << limit.value << limit.set_by << '\n';
+  return kExitSuccess;
 }
 
 int run_version(std::ostream& out) {
   out << "orchidgw " << ORCHIDGW_VERSION << '\n';
-  return kGood;
+  return kExitSuccess;
 }
 
 }  // namespace orchidgw::cli
--- a/src/cli/commands.h
+++ b/src/cli/commands.h
@@ -1,4 +1,4 @@
-// The commands that only read and tell: check, explain, version. Each returns the exit code.
+// The read-only commands: check, explain, version. Each returns the exit code.
 #pragma once
 
 #include <optional>
@@ -8,7 +8,7 @@
 
 namespace orchidgw::cli {
 
-// Loads both files; says all that is wrong, a line each, and gives nothing then.
+// Loads all files. On errors writes each to `err`, one per line, and returns nullopt.
 std::optional<configuration::Configuration> load(const configuration::Sources& sources, std::ostream& err);
 
 int run_check(const configuration::Sources& sources, std::ostream& out, std::ostream& err);
--- a/src/cli/recover_command.cpp
+++ b/src/cli/recover_command.cpp
@@ -10,47 +10,48 @@
 namespace orchidgw::cli {
 namespace {
 
-void write(store::LogStore& to, const store::Stored& found, const recovery::OneCopy& copy) {
-  to.set_owner(copy.owner);
-  to.set_term(copy.term);
-  to.truncate(found.first);
-  to.put_snapshot({copy.index, copy.index_term, copy.index, keeper::configuration_of({copy.owner.keeper}),
-                   thrift::write_state(copy.state)},
-                  copy.index);
-  to.commit();
+void write_recovered_log(store::LogStore& store, const store::Stored& found, const recovery::OneCopy& copy) {
+  store.set_owner(copy.owner);
+  store.set_term(copy.term);
+  store.truncate(found.first);
+  store.put_snapshot({copy.index, copy.index_term, copy.index, keeper::configuration_of({copy.owner.keeper}),
+                      thrift::write_state(copy.state)},
+                     copy.index);
+  store.commit();
 }
 
 }  // namespace
 
-int run_recover(const configuration::Sources& sources, const Recover& recover, std::ostream& out,
+int run_recover(const configuration::Sources& sources, const RecoverOptions& options, std::ostream& out,
                 std::ostream& err) {
   const auto fail = [&err](const std::string& what) {
     err << "orchidgw: " << what << '\n';
-    return kBad;
+    return kExitFailure;
   };
   const auto loaded = load(sources, err);
-  if (!loaded) return kBad;
+  if (!loaded) return kExitFailure;
   if (!loaded->fleet) return fail("fleet recover: no fleet's file is named (--fleet)");
   const std::string& folder = loaded->fleet->store;
   try {
     store::LmdbStore store(folder, store::kKeeperBytes);
     const store::Stored found = store.load();
-    const Played played = play(found);
-    if (!played.fault.empty()) return fail(folder + ": " + played.fault);
-    const recovery::OneCopy copy = recovery::go_on_from_one_copy(
-        found, keeper::voters_of(found), played.state, *loaded->fleet, loaded->controller.name, recover.lost);
+    const ReplayedLog replayed = replay_log(found);
+    if (!replayed.fault.empty()) return fail(folder + ": " + replayed.fault);
+    const recovery::OneCopy copy =
+        recovery::go_on_from_one_copy(found, keeper::voters_of(found), replayed.state, *loaded->fleet,
+                                      loaded->controller.name, options.lost);
     if (!copy.fault.empty()) return fail("fleet recover: " + folder + ": " + copy.fault);
     for (const std::string& line : copy.says) out << line << '\n';
-    if (recover.confirm != loaded->fleet->name) {
+    if (options.confirm != loaded->fleet->name) {
       out << "nothing was changed: --confirm " << loaded->fleet->name << " does it\n";
-      return recover.confirm.empty() ? kGood : kBad;
+      return options.confirm.empty() ? kExitSuccess : kExitFailure;
     }
-    write(store, found, copy);
+    write_recovered_log(store, found, copy);
   } catch (const std::exception& e) {
     return fail(e.what());
   }
   out << "done: start this controller first, then the others, with the same file\n";
-  return kGood;
+  return kExitSuccess;
 }
 
 }  // namespace orchidgw::cli
--- a/src/cli/recover_command.h
+++ b/src/cli/recover_command.h
@@ -1,5 +1,5 @@
-// `orchidgw fleet recover`: a keeper's store goes on from its own copy, once a majority of the keepers is
-// lost.
+// `orchidgw fleet recover`: makes a keeper's store continue from its own copy of the log, after the loss of a
+// majority of the keepers.
 #pragma once
 
 #include <ostream>
@@ -11,14 +11,14 @@
 
 namespace orchidgw::cli {
 
-struct Recover {
-  std::vector<fleet::KeeperId> lost;
-  std::string confirm;  // the fleet's name, typed again; else nothing is changed
+struct RecoverOptions {
+  std::vector<fleet::KeeperId> lost;  // all other keepers of the log
+  std::string confirm;                // the fleet's name, as a confirmation; anything else changes nothing
 };
 
-// Exit codes as of the other commands; a fault is one line on `err`. The store is changed whole or not at
-// all.
-int run_recover(const configuration::Sources& sources, const Recover& recover, std::ostream& out,
+// Returns the exit code (command_line.h); writes an error as one line to `err`. The store is changed in one
+// commit or not at all.
+int run_recover(const configuration::Sources& sources, const RecoverOptions& options, std::ostream& out,
                 std::ostream& err);
 
 }  // namespace orchidgw::cli
--- a/src/cli/replay.cpp
+++ b/src/cli/replay.cpp
@@ -13,7 +13,7 @@
 
 using service_level::Level;
 
-// One ladder a scope, as the program has them.
+// One ladder for each tenant and one for the levels without a tenant, as in the controller.
 std::vector<service_level::Ladder> ladders_of(const service_level::LevelFile& file) {
   std::map<std::string, std::vector<const Level*>> by_tenant;
   for (const Level& level : file.levels) by_tenant[level.tenant].push_back(&level);
@@ -23,9 +23,10 @@
   return out;
 }
 
-void play(const service_level::LevelFile& file, service_level::Recording& recording, std::ostream& out) {
+void replay_recording(const service_level::LevelFile& file, service_level::Recording& recording,
+                      std::ostream& out) {
   std::vector<service_level::Ladder> ladders = ladders_of(file);
-  std::map<std::string, TimeUs> time_in;
+  std::map<std::string, TimeUs> time_by_level;
   TimeUs first = 0;
   TimeUs last = 0;
   int changes = 0;
@@ -33,7 +34,7 @@
     const TimeUs now = recording.at();
     if (first == 0) first = last = now;
     for (service_level::Ladder& ladder : ladders) {
-      time_in[ladder.level() ? ladder.level()->name : service_level::kFullService] += now - last;
+      time_by_level[ladder.level() ? ladder.level()->name : service_level::kFullService] += now - last;
       const auto change = ladder.sample(now, recording);
       if (!change) continue;
       changes += change->trial ? 0 : 1;
@@ -44,37 +45,38 @@
     last = now;
   }
   out << changes << " changes in " << static_cast<double>(last - first) / 1e6 << " s\n";
-  for (const auto& [level, time] : time_in) out << level << ": " << static_cast<double>(time) / 1e6 << " s\n";
+  for (const auto& [level, time] : time_by_level)
+    out << level << ": " << static_cast<double>(time) / 1e6 << " s\n";
 }
 
 }  // namespace
 
-int run_replay(const configuration::Sources& sources, const std::string& signals, std::ostream& out,
+int run_replay(const configuration::Sources& sources, const std::string& signals_path, std::ostream& out,
                std::ostream& err) {
   const auto loaded = load(sources, err);
-  if (!loaded) return kBad;
+  if (!loaded) return kExitFailure;
   try {
     if (!loaded->levels || loaded->levels->levels.empty())
       throw std::runtime_error("the operators' file states no levels");
     std::ifstream file;
-    if (signals != "-") {
-      file.open(signals);
-      if (!file) throw std::runtime_error(signals + ": can't be read");
+    if (signals_path != "-") {
+      file.open(signals_path);
+      if (!file) throw std::runtime_error(signals_path + ": can't be read");
     }
     try {
-      service_level::Recording recording(signals == "-" ? std::cin : file);
+      service_level::Recording recording(signals_path == "-" ? std::cin : file);
       for (const service_level::SignalKey& key : service_level::signals_of(*loaded->levels))
         if (!recording.has(key))
           err << "orchidgw: the recording lacks " << column_of(key) << ": it can't be told\n";
-      play(*loaded->levels, recording, out);
+      replay_recording(*loaded->levels, recording, out);
     } catch (const std::runtime_error& e) {
-      throw std::runtime_error(signals + ": " + e.what());
+      throw std::runtime_error(signals_path + ": " + e.what());
     }
-    return kGood;
+    return kExitSuccess;
   } catch (const std::exception& e) {
     err << "orchidgw: " << e.what() << '\n';
   }
-  return kBad;
+  return kExitFailure;
 }
 
 }  // namespace orchidgw::cli
--- a/src/cli/replay.h
+++ b/src/cli/replay.h
@@ -1,5 +1,5 @@
-// `orchidgw level replay SIGNALS.csv`: recorded signals through the ladders of a file, so that thresholds can
-// be tried before they are put in force.
+// `orchidgw level replay SIGNALS.csv`: runs recorded signals through the service levels of the operators'
+// file, so that thresholds can be tested before they are activated.
 #pragma once
 
 #include <ostream>
@@ -9,8 +9,9 @@
 
 namespace orchidgw::cli {
 
-// Prints a line for each change, and how long each level held. `signals`: a path, or '-' for standard input.
-int run_replay(const configuration::Sources& sources, const std::string& signals, std::ostream& out,
+// Prints a line for each change of level, then the time spent in each. `signals_path`: '-' for standard
+// input. Returns the exit code.
+int run_replay(const configuration::Sources& sources, const std::string& signals_path, std::ostream& out,
                std::ostream& err);
 
 }  // namespace orchidgw::cli
--- a/src/cli/store_command.cpp
+++ b/src/cli/store_command.cpp
@@ -9,14 +9,14 @@
 namespace orchidgw::cli {
 namespace {
 
-constexpr std::size_t kNoMatter = std::size_t{1024} * 1024;
+constexpr std::size_t kUnusedMaxBytes = std::size_t{1024} * 1024;  // no effect on a store opened for reading
 
-void inspect(const store::Stored& stored, const fleet::State& state, std::ostream& out) {
+void print_summary(const store::Stored& stored, const fleet::State& state, std::ostream& out) {
   const budget::Ledger& ledger = state.ledger;
   if (stored.owner) {
     out << "fleet " << stored.owner->fleet << ' ' << stored.owner->number << " keeper "
         << stored.owner->keeper << " knows_begun";
-    for (const std::uint32_t one : stored.owner->begun) out << ' ' << one;
+    for (const std::uint32_t keeper : stored.owner->begun) out << ' ' << keeper;
     out << '\n';
   }
   out << "term " << stored.term << " vote " << stored.vote << " snapshot "
@@ -31,7 +31,7 @@
       << (state.keys.settled() ? "" : " not settled") << '\n';
 }
 
-void list(const store::Stored& stored, std::ostream& out) {
+void print_entries(const store::Stored& stored, std::ostream& out) {
   std::uint64_t index = stored.first;
   for (const store::StoredEntry& one : stored.entries) {
     out << "entry " << index++ << " term " << one.term;
@@ -57,8 +57,8 @@
 
 }  // namespace
 
-Played play(const store::Stored& stored) {
-  Played out;
+ReplayedLog replay_log(const store::Stored& stored) {
+  ReplayedLog out;
   if (stored.snapshot) {
     auto state = thrift::read_state(stored.snapshot->data);
     if (!state) {
@@ -69,14 +69,14 @@
   }
   std::uint64_t index = stored.first;
   for (const store::StoredEntry& one : stored.entries) {
-    const std::uint64_t at = index++;
+    const std::uint64_t entry_index = index++;
     if (one.type != store::kCommandEntry) continue;
     const auto entry = thrift::read_entry(one.data);
     if (!entry) {
-      out.fault = "entry " + std::to_string(at) + " can't be read";
+      out.fault = "entry " + std::to_string(entry_index) + " can't be read";
       return out;
     }
-    if (stored.snapshot && at <= stored.snapshot->index) continue;
+    if (stored.snapshot && entry_index <= stored.snapshot->index) continue;
     out.state.ledger.apply(entry->budget);
     out.state.keys.apply(entry->keys);
   }
@@ -86,23 +86,23 @@
 int run_store(StoreCommand command, const std::string& folder, std::ostream& out, std::ostream& err) {
   store::Stored stored;
   try {
-    store::LmdbStore store(folder, kNoMatter, store::LmdbStore::Open::kRead);
+    store::LmdbStore store(folder, kUnusedMaxBytes, store::LmdbStore::Open::kRead);
     stored = store.load();
   } catch (const store::StoreError& e) {
     err << "orchidgw: " << e.what() << '\n';
-    return kBad;
+    return kExitFailure;
   }
-  const Played played = play(stored);
-  if (!played.fault.empty()) {
-    err << "orchidgw: " << folder << ": " << played.fault << '\n';
-    return kBad;
+  const ReplayedLog replayed = replay_log(stored);
+  if (!replayed.fault.empty()) {
+    err << "orchidgw: " << folder << ": " << replayed.fault << '\n';
+    return kExitFailure;
   }
-  if (command == StoreCommand::kInspect) inspect(stored, played.state, out);
-  if (command == StoreCommand::kExport) list(stored, out);
+  if (command == StoreCommand::kInspect) print_summary(stored, replayed.state, out);
+  if (command == StoreCommand::kExport) print_entries(stored, out);
   if (command == StoreCommand::kVerify)
     out << "good: " << stored.entries.size() << " entries" << (stored.snapshot ? " and a snapshot" : "")
         << '\n';
-  return kGood;
+  return kExitSuccess;
 }
 
 }  // namespace orchidgw::cli
--- a/src/cli/store_command.h
+++ b/src/cli/store_command.h
@@ -1,4 +1,4 @@
-// What on-call staff see of a keeper's store while no process has it: nothing is changed.
+// `orchidgw store`: reads a keeper's store that no process has open, for operators. Changes nothing.
 #pragma once
 
 #include <ostream>
@@ -10,19 +10,20 @@
 namespace orchidgw::cli {
 
 enum class StoreCommand {
-  kInspect,  // whose it is, its term, vote and log, what was leased by it
-  kVerify,   // all that was written is there and can be read
-  kExport    // each entry of the log on a line of its own
+  kInspect,  // its owner, term, vote and log, and what is leased
+  kVerify,   // whether all of it can be read
+  kExport    // the entries of the log, one per line
 };
 
-// What a log leads to, as a keeper would have it after its start but for entries that were not agreed on.
-struct Played {
+// The state after all entries of a store's log, uncommitted ones included; a keeper that starts from the same
+// store applies only committed entries.
+struct ReplayedLog {
   fleet::State state;
-  std::string fault;  // empty: all of it can be read
+  std::string fault;  // which part of the store can't be read; empty: none
 };
-Played play(const store::Stored& stored);
+ReplayedLog replay_log(const store::Stored& stored);
 
-// Exit codes as of the other commands; a fault is one line on `err`.
+// Returns the exit code (command_line.h); writes an error as one line to `err`.
 int run_store(StoreCommand command, const std::string& folder, std::ostream& out, std::ostream& err);
 
 }  // namespace orchidgw::cli
--- a/src/log/bounded_output.cpp
+++ b/src/log/bounded_output.cpp
@@ -11,14 +11,15 @@
 namespace orchidgw::log {
 namespace {
 
-// After poll said so, a pipe takes this much without waiting (PIPE_BUF, POSIX).
-constexpr std::size_t kAtOnce = 4096;
-constexpr std::size_t kLineMost = std::size_t{16} * 1024;
-constexpr int kLastWaitMs = 500;  // at the end, for a reader that is slow but there
+// A pipe that poll() reports as writable takes this many bytes without blocking (PIPE_BUF, POSIX).
+constexpr std::size_t kMaxWriteBytes = 4096;
+constexpr std::size_t kMaxLineLength = std::size_t{16} * 1024;
+constexpr int kFinalWaitMs = 500;  // in the destructor, for a reader that is slow but still reads
 
-// A description of our own for a pipe, so that not waiting is set for no other process that writes to it: two
-// writers could both be told that there is room.
-int open_anew(int fd) {
+// Opens a pipe again, non-blocking; -1 if `fd` is no pipe or the call fails. Non-blocking because with two
+// writers poll() may report the same free space to both. A separate open file description keeps the flag from
+// the other processes that write to the pipe.
+int reopen_pipe(int fd) {
   struct stat info {};
   if (::fstat(fd, &info) != 0 || !S_ISFIFO(info.st_mode)) return -1;
   const std::string path = "/proc/self/fd/" + std::to_string(fd);
@@ -27,30 +28,31 @@
 
 }  // namespace
 
-BoundedOutput::BoundedOutput(int fd, std::size_t most) : fd_(fd), most_(most) {
-  const int own = open_anew(fd);
-  if (own < 0) return;
-  fd_ = own;
-  own_fd_ = true;
+BoundedOutput::BoundedOutput(int fd, std::size_t max_bytes) : fd_(fd), max_bytes_(max_bytes) {
+  const int own_description = reopen_pipe(fd);
+  if (own_description < 0) return;
+  fd_ = own_description;
+  owns_fd_ = true;
 }
 
 BoundedOutput::~BoundedOutput() {
-  if (!line_.empty()) keep_line();
-  write_some();
-  for (std::size_t before = kept_bytes(); before > 0 && can_write(kLastWaitMs); before = kept_bytes()) {
-    write_some();
-    if (kept_bytes() >= before) break;
+  if (!partial_line_.empty()) buffer_line();
+  write_buffered();
+  for (std::size_t before = buffered_bytes(); before > 0 && is_writable(kFinalWaitMs);
+       before = buffered_bytes()) {
+    write_buffered();
+    if (buffered_bytes() >= before) break;
   }
-  if (own_fd_) ::close(fd_);
+  if (owns_fd_) ::close(fd_);
 }
 
-bool BoundedOutput::can_write(int wait_ms) const {
+bool BoundedOutput::is_writable(int timeout_ms) const {
   pollfd p{fd_, POLLOUT, 0};
-  return ::poll(&p, 1, wait_ms) == 1 && (p.revents & (POLLERR | POLLNVAL)) == 0;
+  return ::poll(&p, 1, timeout_ms) == 1 && (p.revents & (POLLERR | POLLNVAL)) == 0;
 }
 
 int BoundedOutput::sync() {
-  write_some();
+  write_buffered();
   return 0;
 }
 
@@ -66,43 +68,44 @@
   while (!rest.empty()) {
     const auto end = rest.find('\n');
     const auto part = rest.substr(0, end);
-    line_.append(part.substr(0, kLineMost - std::min(kLineMost, line_.size())));
+    partial_line_.append(part.substr(0, kMaxLineLength - std::min(kMaxLineLength, partial_line_.size())));
     if (end == std::string_view::npos) break;
-    line_ += '\n';
-    keep_line();
+    partial_line_ += '\n';
+    buffer_line();
     rest.remove_prefix(end + 1);
   }
   return n;
 }
 
-void BoundedOutput::keep_line() {
-  if (kept_bytes() + line_.size() > most_) write_some();
-  if (kept_bytes() + line_.size() > most_) {
-    ++dropped_;
+void BoundedOutput::buffer_line() {
+  if (buffered_bytes() + partial_line_.size() > max_bytes_) write_buffered();
+  if (buffered_bytes() + partial_line_.size() > max_bytes_) {
+    ++dropped_lines_;
   } else {
-    kept_ += line_;
+    buffered_ += partial_line_;
   }
-  line_.clear();
+  partial_line_.clear();
 }
 
-void BoundedOutput::write_some() {
-  while (kept_bytes() > 0 && can_write(0)) {
-    const ssize_t n = ::write(fd_, kept_.data() + written_, std::min(kAtOnce, kept_bytes()));
+void BoundedOutput::write_buffered() {
+  while (buffered_bytes() > 0 && is_writable(0)) {
+    const ssize_t n = ::write(fd_, buffered_.data() + written_, std::min(kMaxWriteBytes, buffered_bytes()));
     if (n < 0 && errno == EINTR) continue;
     if (n <= 0) break;
     written_ += static_cast<std::size_t>(n);
   }
-  if (written_ == kept_.size()) {
-    kept_.clear();
+  if (written_ == buffered_.size()) {
+    buffered_.clear();
     written_ = 0;
-  } else if (written_ > most_ / 2) {
-    kept_.erase(0, written_);
+  } else if (written_ > max_bytes_ / 2) {
+    buffered_.erase(0, written_);
     written_ = 0;
   }
-  if (kept_.empty() && dropped_ > told_) {
-    kept_ = "log: " + std::to_string(dropped_ - told_) + " lines dropped: nobody read them\n";
-    told_ = dropped_;
-    write_some();
+  if (buffered_.empty() && dropped_lines_ > reported_lines_) {
+    buffered_ =
+        "log: " + std::to_string(dropped_lines_ - reported_lines_) + " lines dropped: nobody read them\n";
+    reported_lines_ = dropped_lines_;
+    write_buffered();
   }
 }
 
--- a/src/log/line_text.cpp
+++ b/src/log/line_text.cpp
@@ -6,16 +6,16 @@
 namespace orchidgw::log {
 namespace {
 
-constexpr std::size_t kValueMost = 4096;  // bytes of one value
+constexpr std::size_t kMaxValueLength = 4096;  // bytes of one value
 
-std::string number_text(double number) {
+std::string format_number(double number) {
   if (!std::isfinite(number)) return "null";
   char text[32];
   const auto [end, error] = std::to_chars(text, text + sizeof text, number);
   return error == std::errc() ? std::string(text, end) : "0";
 }
 
-bool plain(std::string_view value) {
+bool needs_no_quotes(std::string_view value) {
   if (value.empty()) return false;
   for (const char c : value)
     if (c <= ' ' || c == '"' || c == '=' || c == '\\' || static_cast<unsigned char>(c) >= 0x7f) return false;
@@ -24,64 +24,64 @@
 
 }  // namespace
 
-void LineText::head(std::string_view level, std::string_view name, std::string_view component,
-                    std::string_view text) {
+void LineText::append_header(std::string_view level, std::string_view name, std::string_view component,
+                             std::string_view text) {
   if (json_) {
-    member("level", level);
+    append_member("level", level);
     line_ += ',';
-    member("name", name);
+    append_member("name", name);
     line_ += ',';
-    member("component", component);
+    append_member("component", component);
     line_ += ',';
-    member("event", text);
+    append_member("event", text);
     return;
   }
   line_ += level;
   line_ += ' ';
-  escaped(name, false);
+  append_escaped(name, false);
   line_ += ": ";
-  escaped(text, false);
-  if (component != "net") member(" component", component);
+  append_escaped(text, false);
+  if (component != "net") append_member(" component", component);
 }
 
-void LineText::field(const Field& field) {
+void LineText::append_field(const Field& field) {
   line_ += json_ ? "," : " ";
-  if (const auto* text = std::get_if<std::string_view>(&field.value)) return member(field.key, *text);
-  if (json_) quoted(field.key);
+  if (const auto* text = std::get_if<std::string_view>(&field.value)) return append_member(field.key, *text);
+  if (json_) append_quoted(field.key);
   if (!json_) line_ += field.key;
   line_ += json_ ? ':' : '=';
   if (const auto* whole = std::get_if<std::int64_t>(&field.value)) {
     line_ += std::to_string(*whole);
   } else {
-    line_ += number_text(std::get<double>(field.value));
+    line_ += format_number(std::get<double>(field.value));
   }
 }
 
-void LineText::member(std::string_view key, std::string_view value) {
+void LineText::append_member(std::string_view key, std::string_view value) {
   if (json_) {
-    quoted(key);
+    append_quoted(key);
     line_ += ':';
-    return quoted(value);
+    return append_quoted(value);
   }
   line_ += key;
   line_ += '=';
-  if (plain(value)) {
+  if (needs_no_quotes(value)) {
     line_ += value;
   } else {
-    quoted(value);
+    append_quoted(value);
   }
 }
 
-void LineText::quoted(std::string_view value) {
+void LineText::append_quoted(std::string_view value) {
   line_ += '"';
-  escaped(value, true);
+  append_escaped(value, true);
   line_ += '"';
 }
 
-// What is no plain ASCII is written as \u00XX, byte by byte: whether it is UTF-8 is not known.
-void LineText::escaped(std::string_view value, bool in_quotes) {
+// Writes bytes that are not printable ASCII as \u00XX, one by one: the text need not be valid UTF-8.
+void LineText::append_escaped(std::string_view value, bool in_quotes) {
   constexpr std::string_view kHex = "0123456789abcdef";
-  for (const char c : value.substr(0, kValueMost)) {
+  for (const char c : value.substr(0, kMaxValueLength)) {
     const auto byte = static_cast<unsigned char>(c);
     if (byte < 0x20 || byte >= 0x7f) {
       line_ += "\\u00";
--- a/src/log/line_text.h
+++ b/src/log/line_text.h
@@ -1,5 +1,5 @@
-// The text of one log line, with what comes from outside escaped: nothing that a client sends can begin a
-// line or a field of its own.
+// Builds the text of one log line and escapes untrusted values, so that nothing that a client sends can start
+// a new line or a new field.
 #pragma once
 
 #include <string>
@@ -13,14 +13,15 @@
  public:
   explicit LineText(Format format) : json_(format == Format::kJson) {}
 
-  void head(std::string_view level, std::string_view name, std::string_view component, std::string_view text);
-  void field(const Field& field);
+  void append_header(std::string_view level, std::string_view name, std::string_view component,
+                     std::string_view event);
+  void append_field(const Field& field);
   std::string take() && { return std::move(line_); }
 
  private:
-  void member(std::string_view key, std::string_view value);
-  void quoted(std::string_view value);
-  void escaped(std::string_view value, bool in_quotes);
+  void append_member(std::string_view key, std::string_view value);
+  void append_quoted(std::string_view value);
+  void append_escaped(std::string_view value, bool in_quotes);
 
   bool json_;
   std::string line_;
--- a/src/log/log.cpp
+++ b/src/log/log.cpp
@@ -14,39 +14,39 @@
 
 using Clock = std::chrono::steady_clock;
 
-constexpr std::array<const char*, 4> kLevelWords = {"error", "warn", "info", "debug"};
-constexpr std::array<const char*, kComponents> kComponentWords = {"core", "net", "config", "limits", "fleet"};
-constexpr auto kRepeatedWithin = std::chrono::seconds(1);
+constexpr std::array<const char*, 4> kLevelNames = {"error", "warn", "info", "debug"};
+constexpr std::array<const char*, kComponents> kComponentNames = {"core", "net", "config", "limits", "fleet"};
+constexpr auto kRepeatWindow = std::chrono::seconds(1);
 constexpr std::size_t kRecentLines = 8;
 
-const char* word_of(Level level) { return kLevelWords[static_cast<std::size_t>(level)]; }
+const char* name_of(Level level) { return kLevelNames[static_cast<std::size_t>(level)]; }
 
-spdlog::level::level_enum theirs(Level level) {
-  constexpr std::array<spdlog::level::level_enum, 4> kTheirs = {spdlog::level::err, spdlog::level::warn,
-                                                                spdlog::level::info, spdlog::level::debug};
-  return kTheirs[static_cast<std::size_t>(level)];
+spdlog::level::level_enum to_spdlog(Level level) {
+  constexpr std::array<spdlog::level::level_enum, 4> kSpdlogLevels = {
+      spdlog::level::err, spdlog::level::warn, spdlog::level::info, spdlog::level::debug};
+  return kSpdlogLevels[static_cast<std::size_t>(level)];
 }
 
-// Milliseconds since 1970 in front, as the lines always had them; all else is the payload's.
+// Each line starts with the milliseconds since 1970, as in earlier versions; the rest is the payload.
 constexpr const char* kTextPattern = "%E%e %v";
 constexpr const char* kJsonPattern = "{\"ts_ms\":%E%e,%v}";
 
 }  // namespace
 
-Level level_named(const std::string& word, Level otherwise) {
+Level level_named(const std::string& name, Level fallback) {
   for (const Level level : {Level::kError, Level::kWarn, Level::kInfo, Level::kDebug})
-    if (word == word_of(level)) return level;
-  return otherwise;
+    if (name == name_of(level)) return level;
+  return fallback;
 }
 
-std::optional<Component> component_named(std::string_view word) {
+std::optional<Component> component_named(std::string_view name) {
   for (std::size_t i = 0; i < kComponents; ++i)
-    if (word == kComponentWords[i]) return static_cast<Component>(i);
+    if (name == kComponentNames[i]) return static_cast<Component>(i);
   return std::nullopt;
 }
 
-// Writes lines, and holds back those that came a moment ago. spdlog's own filter of doubles knows only the
-// last line and writes its count as a sentence of its own, which is no JSON.
+// Writes lines and suppresses repeats of recent ones. spdlog's own duplicate filter compares with the last
+// line only and writes its count as a separate sentence, which is not JSON.
 class Logger::Sink {
  public:
   explicit Sink(std::ostream& out)
@@ -54,11 +54,11 @@
     logger_.set_level(spdlog::level::trace);
   }
   ~Sink() {
-    for (Recent& recent : recent_) say_repeated(recent);
+    for (RecentLine& recent : recent_) write_repeat_count(recent);
   }
 
   void set_format(Format format) {
-    for (Recent& recent : recent_) say_repeated(recent);
+    for (RecentLine& recent : recent_) write_repeat_count(recent);
     recent_ = {};
     format_ = format;
     const char* pattern = format == Format::kJson ? kJsonPattern : kTextPattern;
@@ -68,47 +68,47 @@
 
   void write(Level level, std::string line) {
     const auto now = Clock::now();
-    Recent* oldest = &recent_[0];
-    for (Recent& recent : recent_) {
-      if (recent.line == line && now - recent.since < kRepeatedWithin) {
-        ++recent.held_back;
+    RecentLine* oldest = &recent_[0];
+    for (RecentLine& recent : recent_) {
+      if (recent.line == line && now - recent.written_at < kRepeatWindow) {
+        ++recent.suppressed_count;
         return;
       }
       if (recent.line == line) {
         oldest = &recent;
         break;
       }
-      if (recent.since < oldest->since) oldest = &recent;
+      if (recent.written_at < oldest->written_at) oldest = &recent;
     }
-    say_repeated(*oldest);
-    logger_.log(theirs(level), line);
+    write_repeat_count(*oldest);
+    logger_.log(to_spdlog(level), line);
     *oldest = {std::move(line), level, now, 0};
   }
 
  private:
-  struct Recent {
+  struct RecentLine {
     std::string line;
     Level level = Level::kInfo;
-    Clock::time_point since;
-    std::uint64_t held_back = 0;
+    Clock::time_point written_at;
+    std::uint64_t suppressed_count = 0;
   };
 
-  void say_repeated(Recent& recent) {
-    if (recent.held_back == 0) return;
-    const std::string count = std::to_string(std::exchange(recent.held_back, 0));
+  void write_repeat_count(RecentLine& recent) {
+    if (recent.suppressed_count == 0) return;
+    const std::string count = std::to_string(std::exchange(recent.suppressed_count, 0));
     const char* before = format_ == Format::kJson ? ",\"repeated\":" : " repeated=";
-    logger_.log(theirs(recent.level), recent.line + before + count);
+    logger_.log(to_spdlog(recent.level), recent.line + before + count);
   }
 
   std::shared_ptr<spdlog::sinks::ostream_sink_st> sink_;
   spdlog::logger logger_;
   Format format_ = Format::kText;
-  std::array<Recent, kRecentLines> recent_;
+  std::array<RecentLine, kRecentLines> recent_;
 };
 
-Logger::Logger(std::ostream& out, Level most, std::string name)
+Logger::Logger(std::ostream& out, Level max_level, std::string name)
     : out_(out), name_(std::move(name)), sink_(std::make_unique<Sink>(out)) {
-  choose({most, Format::kText, {}});
+  choose({max_level, Format::kText, {}});
 }
 
 Logger::~Logger() = default;
@@ -125,10 +125,10 @@
 void Logger::write(Level level, Component component, std::string_view text,
                    std::initializer_list<Field> fields) {
   if (!on(level, component)) return;
-  const char* part = kComponentWords[static_cast<std::size_t>(component)];
+  const char* part = kComponentNames[static_cast<std::size_t>(component)];
   LineText line(choice_.format);
-  line.head(word_of(level), name_, part, text);
-  for (const Field& field : fields) line.field(field);
+  line.append_header(name_of(level), name_, part, text);
+  for (const Field& field : fields) line.append_field(field);
   sink_->write(level, std::move(line).take());
 }
 
--- a/src/log/log.h
+++ b/src/log/log.h
@@ -1,5 +1,5 @@
-// Log lines through iostreams, on spdlog's ostream sink: text or JSON, a level for each component, fields for
-// what is counted or named, repeated lines bounded with a count.
+// Log lines written to a std::ostream with spdlog: as text or JSON, with a level for each component, with
+// fields for numbers and names; repeated lines are suppressed and counted.
 #pragma once
 
 #include <array>
@@ -19,35 +19,39 @@
 enum class Component { kCore, kNet, kConfig, kLimits, kFleet };
 inline constexpr std::size_t kComponents = static_cast<std::size_t>(Component::kFleet) + 1;
 
-// The level named "error", "warn", "info" or "debug"; `otherwise` for any other word.
-Level level_named(const std::string& word, Level otherwise);
-// The component named "core", "net", "config", "limits" or "fleet"; nothing for any other word.
-std::optional<Component> component_named(std::string_view word);
+// The level named "error", "warn", "info" or "debug"; `fallback` for any other name.
+Level level_named(const std::string& name, Level fallback);
+// The component named "core", "net", "config", "limits" or "fleet"; nullopt for any other name.
+std::optional<Component> component_named(std::string_view name);
 
 struct Field {
   std::string_view key;
   std::variant<std::string_view, std::int64_t, double> value;
 };
 
-// What is written and how; may change while the program runs.
+// Which lines are written, and in which format; may be changed at run time.
 struct Choice {
   Level level = Level::kInfo;
   Format format = Format::kText;
-  std::array<std::optional<Level>, kComponents> components;  // where they differ
+  std::array<std::optional<Level>, kComponents> components;  // where a component has another level
 };
 
 class Logger {
  public:
-  Logger(std::ostream& out, Level most, std::string name);
+  // `out` has to outlive the logger. `name`: the name of this process, written into each line. Starts with
+  // the text format and one level for all components.
+  Logger(std::ostream& out, Level max_level, std::string name);
   ~Logger();
   Logger(const Logger&) = delete;
   Logger& operator=(const Logger&) = delete;
 
+  // From now on; counts of suppressed repeats are written first.
   void choose(const Choice& choice);
+  // Whether a line of this level and component would be written.
   bool on(Level level, Component component = Component::kNet) const;
   void write(Level level, std::string_view text) { write(level, Component::kNet, text); }
-  // `text` says what happened, `fields` to whom and how much. A line that comes again within a second is
-  // counted, and written with that count later.
+  // `text` says what happened, `fields` name who is concerned and give amounts. A line that is repeated
+  // within a second is only counted; it is written with that count later.
   void write(Level level, Component component, std::string_view text,
              std::initializer_list<Field> fields = {});
   std::ostream& stream() { return out_; }
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -1,5 +1,5 @@
-// orchidgw: the real controller and its commands. Reads its configuration, opens its address, serves until it
-// is told to stop.
+// orchidgw: the controller and its commands. Reads its configuration, listens on its address and serves until
+// it is told to stop.
 #include <unistd.h>
 
 #include <exception>
@@ -28,20 +28,20 @@
 using orchidgw::configuration::Configuration;
 using orchidgw::configuration::Sources;
 
-int fail(const std::string& what) {
-  std::cerr << "orchidgw: " << what << std::endl;
-  return orchidgw::cli::kBad;
+int fail(const std::string& message) {
+  std::cerr << "orchidgw: " << message << std::endl;
+  return orchidgw::cli::kExitFailure;
 }
 
-// Everything that a serving process has: opened by its constructor, closed again where one of the parts can't
-// be had.
+// All resources of a serving process. The constructor opens them; if one can't be opened, it throws and the
+// others are closed again.
 class Service {
  public:
   explicit Service(const Sources& sources)
       : configuration_(orchidgw::configuration::load(sources, nullptr)),
-        output_(STDERR_FILENO),
-        lines_(&output_),
-        log_(lines_, configuration_.log.level, configuration_.controller.name) {
+        stderr_output_(STDERR_FILENO),
+        log_stream_(&stderr_output_),
+        log_(log_stream_, configuration_.log.level, configuration_.controller.name) {
     const auto& listen = configuration_.controller.listen;
     orchidgw::Descriptor listener = orchidgw::net::bind_at(listen);
     const int listener_fd = listener.get();
@@ -52,7 +52,7 @@
     if (configuration_.fleet) join_fleet();
     if (!sources.intents.empty()) controller_->open_intents(sources.intents);
     if (!sources.admin.empty()) controller_->open_admin(sources.admin);
-    // Last: a client that is let in by a start that fails later would lose what it asked.
+    // Last: if a later step of the start failed, clients already accepted would lose their requests.
     orchidgw::net::listen_on(listener_fd, listen);
     log_.write(orchidgw::log::Level::kInfo,
                "listening on " + listen.host + ":" + std::to_string(listen.port));
@@ -69,8 +69,8 @@
   }
 
   Configuration configuration_;
-  orchidgw::log::BoundedOutput output_;
-  std::ostream lines_;
+  orchidgw::log::BoundedOutput stderr_output_;
+  std::ostream log_stream_;
   orchidgw::log::Logger log_;
   std::unique_ptr<orchidgw::net::Controller> controller_;
 };
@@ -81,14 +81,14 @@
   const auto result =
       orchidgw::net::start_with_retries([&] { service = std::make_unique<Service>(sources); });
   if (result == orchidgw::net::StartResult::kStarted) service->run();
-  return orchidgw::cli::kGood;
+  return orchidgw::cli::kExitSuccess;
 }
 
-int ask(const std::string& path, const orchidgw::admin::AdminCommand& command) {
+int ask_admin_socket(const std::string& path, const orchidgw::admin::AdminCommand& command) {
   if (path.empty()) return fail("--admin: the path of the administration socket is needed");
-  const std::string answer = orchidgw::net::ask_admin(path, orchidgw::admin::write_admin(command));
+  const std::string answer = orchidgw::net::ask_admin(path, orchidgw::admin::format_admin_command(command));
   std::cout << answer;
-  return answer.starts_with("error") ? orchidgw::cli::kBad : orchidgw::cli::kGood;
+  return answer.starts_with("error") ? orchidgw::cli::kExitFailure : orchidgw::cli::kExitSuccess;
 }
 
 int run(const orchidgw::cli::CommandLine& line) {
@@ -101,22 +101,22 @@
     case Command::kExplain:
       return orchidgw::cli::run_explain(line, std::cout, std::cerr);
     case Command::kReplay:
-      return orchidgw::cli::run_replay(line.sources, line.signals, std::cout, std::cerr);
+      return orchidgw::cli::run_replay(line.sources, line.signals_path, std::cout, std::cerr);
     case Command::kStatus:
-      return ask(line.sources.admin, {});
+      return ask_admin_socket(line.sources.admin, {});
     case Command::kFleetStatus:
-      return ask(line.sources.admin, {orchidgw::admin::AdminCommand::Kind::kFleetStatus, "", 0});
+      return ask_admin_socket(line.sources.admin, {orchidgw::admin::AdminCommand::Kind::kFleetStatus, "", 0});
     case Command::kFleetRecover:
       return orchidgw::cli::run_recover(line.sources, line.recover, std::cout, std::cerr);
     case Command::kLevelSet:
-      return ask(line.sources.admin,
-                 {orchidgw::admin::AdminCommand::Kind::kLevelSet, line.level, line.hold_s * 1'000'000});
+      return ask_admin_socket(line.sources.admin, {orchidgw::admin::AdminCommand::Kind::kLevelSet, line.level,
+                                                   line.duration_s * 1'000'000});
     case Command::kStore:
       return orchidgw::cli::run_store(line.store, line.folder, std::cout, std::cerr);
     case Command::kVersion:
       return orchidgw::cli::run_version(std::cout);
   }
-  return orchidgw::cli::kUsage;
+  return orchidgw::cli::kExitUsage;
 }
 
 }  // namespace
@@ -128,7 +128,7 @@
     return line ? run(*line) : exit_code;
   } catch (const orchidgw::configuration::ConfigurationError& e) {
     for (const std::string& text : e.lines()) fail(text);
-    return orchidgw::cli::kBad;
+    return orchidgw::cli::kExitFailure;
   } catch (const std::exception& e) {
     return fail(e.what());
   }
--- a/src/metrics/counters.h
+++ b/src/metrics/counters.h
@@ -1,4 +1,4 @@
-// What a controller has taken in, sent and answered; printed on SIGUSR1 and at exit.
+// Counters of what a controller has accepted, sent and answered; printed on SIGUSR1 and at exit.
 #pragma once
 
 #include <array>
@@ -11,20 +11,20 @@
 
 using TimeUs = std::int64_t;  // microseconds
 
-// How late something came: count, mean and worst.
-struct Lateness {
+// Durations: their count, sum (for the mean) and maximum.
+struct DurationStats {
   std::uint64_t count = 0;
   TimeUs sum = 0;
   TimeUs worst = 0;
-  void add(TimeUs late) {
+  void add(TimeUs duration) {
     ++count;
-    sum += late;
-    if (late > worst) worst = late;
+    sum += duration;
+    if (duration > worst) worst = duration;
   }
 };
 
-// How many there are and how many there were at the most.
-struct Level {
+// The current number of something and the highest so far.
+struct Gauge {
   std::uint64_t now = 0;
   std::uint64_t most = 0;
   void set(std::uint64_t value) {
@@ -35,12 +35,13 @@
   void down() { set(now - 1); }
 };
 
-// Kinds of ends are the core's; here they are numbers, with room for so many.
+// Sizes of the arrays of counters. The core defines the enumerations that index them and checks that they
+// fit.
 inline constexpr std::size_t kOutcomesMost = 8;
 inline constexpr std::size_t kEndsMost = 24;
 inline constexpr std::size_t kDenialsMost = 10;
 
-// What the numbers are called: the core knows. Null for a number that stands for nothing.
+// Functions of the core that name the indexes of the arrays. They return null for an index without a meaning.
 struct Names {
   const char* (*outcome)(std::size_t) = nullptr;
   const char* (*end)(std::size_t) = nullptr;
@@ -53,23 +54,25 @@
   std::uint64_t served = 0;
   std::uint64_t refused = 0;
   std::uint64_t failed = 0;
-  std::uint64_t rejected = 0;  // could not be taken: answered by the protocol alone
-  std::uint64_t aborted = 0;   // the client gave it up or left
-  Level open_queries;
-  Level waiting_queries;                           // for their turn under the operators' limits
-  std::array<std::uint64_t, kReasons> refusals{};  // by reason
+  std::uint64_t rejected = 0;  // malformed or invalid: answered on the protocol level only
+  std::uint64_t aborted = 0;   // aborted by the client, or the client disconnected
+  Gauge open_queries;
+  Gauge waiting_queries;                               // in a queue of the operators' limits
+  std::array<std::uint64_t, kReasonCount> refusals{};  // by reason
   // Attempts and calls.
   std::uint64_t sent = 0;
   std::array<std::uint64_t, kOutcomesMost> outcomes{};
   std::uint64_t calls = 0;
-  Level open_calls;
+  Gauge open_calls;
   std::uint64_t asked_again = 0;
-  std::uint64_t unconfirmed = 0;  // given up without the engine's word
-  // Starts that were taken back at their first byte, by what forbade them then (src/decision/permission.h).
+  std::uint64_t unconfirmed = 0;  // cancelled without a confirmation by the engine
+  // Attempts withdrawn just before their first byte was sent, by reason (Denial of
+  // src/decision/permission.h).
   std::array<std::uint64_t, kDenialsMost> starts_denied{};
-  // What was asked for and may never be: the decision module's faults. Not done; 0 in a program that works.
+  // Forbidden actions that the decision module asked for, by reason. They are not carried out; any count is a
+  // bug.
   std::array<std::uint64_t, kDenialsMost> violations{};
-  // Queries that had no final answer when their time was over, and were failed for it.
+  // Queries without a final answer by their deadline, which were failed for that reason.
   std::uint64_t answers_overdue = 0;
   // Connections.
   std::array<std::uint64_t, kEndsMost> client_ends{};
@@ -78,11 +81,11 @@
   std::uint64_t accepted = 0;
   std::uint64_t connected = 0;
   std::uint64_t reused = 0;
-  Level clients;
-  Level engine_connections;
-  Level waiting_calls;
-  Level buffers;
-  Level descriptors;
+  Gauge clients;
+  Gauge engine_connections;
+  Gauge waiting_calls;
+  Gauge buffers;
+  Gauge descriptors;
   // Bytes.
   std::uint64_t client_bytes_in = 0;
   std::uint64_t client_bytes_out = 0;
@@ -90,30 +93,31 @@
   std::uint64_t engine_bytes_out = 0;
   std::uint64_t change_log_bytes_in = 0;
   std::uint64_t change_log_bytes_out = 0;
-  // Between controllers of a fleet.
+  // Messages between controllers of a fleet.
   std::uint64_t fleet_bytes_in = 0;
   std::uint64_t fleet_bytes_out = 0;
   std::uint64_t fleet_sent = 0;
   std::uint64_t fleet_received = 0;
-  std::uint64_t fleet_dropped = 0;  // too much waited already
-  std::uint64_t fleet_shares = 0;   // times that what may be used changed
-  // The list, the loop.
+  std::uint64_t fleet_dropped = 0;  // the send buffer was full
+  std::uint64_t fleet_shares = 0;   // changes of this controller's share
+  // The engine list, configuration reloads, the event loop.
   std::uint64_t list_changes = 0;
   std::uint64_t change_log_calls = 0;
   std::uint64_t reloads = 0;  // SIGHUP
   std::uint64_t reloads_failed = 0;
   std::uint64_t wall_clock_steps = 0;
   std::uint64_t turns = 0;
-  std::uint64_t late_turns = 0;  // left to the next one, which comes once the sockets were read
+  std::uint64_t late_turns = 0;  // whose timers waited for the next turn, after the sockets were read
   std::uint64_t reads_paused = 0;
   std::uint64_t accepts_paused = 0;
-  Lateness timers;
-  Lateness turn;      // time from the start of a turn to its end
-  Lateness reads;     // time from reading an event to acting on it
-  Lateness reducer;   // time in the reducer and the module, an event
-  Lateness connects;  // time that connections to engines took to come up
+  DurationStats timers;
+  DurationStats turn;      // from the start of a turn to its end
+  DurationStats reads;     // from reading an event to acting on it
+  DurationStats reducer;   // spent on one event in the reducer and the decision module
+  DurationStats connects;  // to establish a connection to an engine
 };
 
+// Writes a line for each counter and flushes.
 void print(const Counters& counters, const Names& names, std::ostream& out);
 
 }  // namespace orchidgw::metrics
--- a/src/sample/ask.cpp
+++ b/src/sample/ask.cpp
@@ -13,10 +13,10 @@
 
 using thrift::FieldType;
 
-constexpr std::uint32_t kAnswerMost = 64 * 1024;
-constexpr int kPastItsTimeMs = 1000;
+constexpr std::uint32_t kMaxAnswerBytes = 64 * 1024;
+constexpr int kExtraWaitMs = 1000;
 
-std::string new_reference() {
+std::string random_reference() {
   std::random_device device;
   constexpr char kHex[] = "0123456789abcdef";
   std::string out;
@@ -24,30 +24,30 @@
   return out;
 }
 
-std::string frame_of(const Question& q) {
-  std::map<std::string, std::string> fields = {{"service", q.class_name},
-                                               {"ref", new_reference()},
-                                               {"allow", std::to_string(q.wait_ms)},
+std::string request_frame(const Request& request) {
+  std::map<std::string, std::string> fields = {{"service", request.class_name},
+                                               {"ref", random_reference()},
+                                               {"allow", std::to_string(request.wait_ms)},
                                                {"effort", "15.0"},
                                                {"mem", "4"}};
-  if (!q.tenant.empty()) fields["project"] = q.tenant;
-  if (!q.key.empty()) fields["replay"] = q.key;
+  if (!request.tenant.empty()) fields["project"] = request.tenant;
+  if (!request.key.empty()) fields["replay"] = request.key;
   thrift::Writer body;
   body.message(thrift::MessageType::kCall, "invoke", 1);
   body.field(FieldType::kMap, 1);
   body.text_map(fields);
   body.field(FieldType::kString, 2);
-  body.bytes(q.statement);
+  body.bytes(request.statement);
   body.stop();
   thrift::Writer framed;
-  framed.bytes(body.text());  // a length and so many bytes: a frame
+  framed.bytes(body.text());  // the body behind its length: a frame
   return framed.text();
 }
 
 void receive(Poco::Net::StreamSocket& socket, char* to, std::size_t n) {
   for (std::size_t got = 0; got < n;) {
     const int more = socket.receiveBytes(to + got, static_cast<int>(n - got));
-    if (more <= 0) throw std::runtime_error("the connection ended without an answer");
+    if (more <= 0) throw std::runtime_error("the connection was closed without an answer");
     got += static_cast<std::size_t>(more);
   }
 }
@@ -63,7 +63,7 @@
   return out;
 }
 
-// The struct of an answer: rows and fields, or fields alone.
+// Reads the struct of an answer: rows and fields, or fields alone.
 void read_struct(thrift::Reader& in, Reply& reply) {
   while (in.ok()) {
     const auto type = static_cast<FieldType>(in.u8());
@@ -86,30 +86,30 @@
   in.bytes();
   in.u32();
   if ((head & 0xff) != static_cast<std::uint32_t>(thrift::MessageType::kReply)) {
-    reply.fields["why"] = "the controller could not use the request";
+    reply.fields["why"] = "the controller rejected the request as malformed";
     return reply;
   }
   const auto type = static_cast<FieldType>(in.u8());
   const std::uint16_t field = in.u16();
-  if (!in.ok() || type != FieldType::kStruct) throw std::runtime_error("the answer can't be read");
+  if (!in.ok() || type != FieldType::kStruct) throw std::runtime_error("the answer is malformed");
   reply.kind = field == 0 ? Reply::Kind::kServed : field == 1 ? Reply::Kind::kRefused : Reply::Kind::kFailed;
   read_struct(in, reply);
-  if (!in.ok()) throw std::runtime_error("the answer can't be read");
+  if (!in.ok()) throw std::runtime_error("the answer is malformed");
   return reply;
 }
 
 }  // namespace
 
-Reply ask(const Question& question) {
+Reply ask(const Request& request) {
   Poco::Net::StreamSocket socket;
-  socket.connect(Poco::Net::SocketAddress(question.address), Poco::Timespan(2, 0));
-  socket.setReceiveTimeout(Poco::Timespan((question.wait_ms + kPastItsTimeMs) * 1000L));
-  const std::string frame = frame_of(question);
+  socket.connect(Poco::Net::SocketAddress(request.address), Poco::Timespan(2, 0));
+  socket.setReceiveTimeout(Poco::Timespan((request.wait_ms + kExtraWaitMs) * 1000L));
+  const std::string frame = request_frame(request);
   socket.sendBytes(frame.data(), static_cast<int>(frame.size()));
   char head[4];
   receive(socket, head, sizeof head);
   const std::uint32_t length = thrift::Reader({head, sizeof head}).u32();
-  if (length > kAnswerMost) throw std::runtime_error("the answer is too long");
+  if (length > kMaxAnswerBytes) throw std::runtime_error("the answer is too long");
   std::string answer(length, '\0');
   receive(socket, answer.data(), answer.size());
   return read_reply(answer);
--- a/src/sample/ask.h
+++ b/src/sample/ask.h
@@ -1,4 +1,4 @@
-// Sends one query to a controller, as a client would, and waits for its answer.
+// A client of one query: sends it to a controller and waits for the answer.
 #pragma once
 
 #include <map>
@@ -6,11 +6,11 @@
 
 namespace orchidgw::sample {
 
-struct Question {
+struct Request {
   std::string address = "127.0.0.1:7001";
   std::string class_name = "lookup";
   std::string tenant = "acme";
-  std::string key;  // empty: none
+  std::string key;  // the idempotency key; empty: none
   int wait_ms = 3000;
   std::string statement;
 };
@@ -19,10 +19,11 @@
   enum class Kind { kServed, kRefused, kFailed };
   Kind kind = Kind::kFailed;
   std::string rows;                           // of kServed
-  std::map<std::string, std::string> fields;  // `cooldown` of kRefused, `why` of kFailed
+  std::map<std::string, std::string> fields;  // `cooldown` with kRefused, `why` with kFailed
 };
 
-// Throws std::exception where there is no connection, or no answer that can be read.
-Reply ask(const Question& question);
+// Blocks until the answer is there. Throws std::exception if the connection fails, the answer is malformed,
+// or none comes within `wait_ms` and one second more.
+Reply ask(const Request& request);
 
 }  // namespace orchidgw::sample
--- a/src/sample/stand_ins.cpp
+++ b/src/sample/stand_ins.cpp
@@ -21,8 +21,9 @@
 using Poco::Net::HTTPServerResponse;
 using Answer = std::function<void(HTTPServerRequest&, HTTPServerResponse&)>;
 
-constexpr auto kQueryTakes = std::chrono::milliseconds(20);
-constexpr auto kNewsHeld = std::chrono::milliseconds(400);  // below the half second that the program asks for
+constexpr auto kQueryTime = std::chrono::milliseconds(20);
+constexpr auto kPollHoldTime =
+    std::chrono::milliseconds(400);  // less than the 500 ms that the controller asks for
 
 class Handler final : public HTTPRequestHandler {
  public:
@@ -35,9 +36,9 @@
   const Answer& answer_;
 };
 
-class Handlers final : public Poco::Net::HTTPRequestHandlerFactory {
+class HandlerFactory final : public Poco::Net::HTTPRequestHandlerFactory {
  public:
-  explicit Handlers(Answer answer) : answer_(std::move(answer)) {}
+  explicit HandlerFactory(Answer answer) : answer_(std::move(answer)) {}
   HTTPRequestHandler* createRequestHandler(const HTTPServerRequest&) override { return new Handler(answer_); }
 
  private:
@@ -49,16 +50,16 @@
   response.send() << body;
 }
 
-// Engines tell with a good end what the query needed.
+// Engines report in the headers of a successful answer what the query needed.
 void run_query(int engine, HTTPServerRequest& request, HTTPServerResponse& response) {
-  if (request.getMethod() != "POST") {  // given up, or a new priority
+  if (request.getMethod() != "POST") {  // a cancel, or a new priority
     response.setStatusAndReason(HTTPResponse::HTTP_NO_CONTENT);
     response.send();
     return;
   }
   std::string statement;
   Poco::StreamCopier::copyToString(request.stream(), statement);
-  std::this_thread::sleep_for(kQueryTakes);
+  std::this_thread::sleep_for(kQueryTime);
   response.set("X-Pages", "1");
   response.set("X-Cost-Ms", "15");
   response.set("X-Needed-Mb", "4");
@@ -67,8 +68,8 @@
                      std::to_string(statement.size()) + "\n");
 }
 
-void tell_no_change(HTTPServerRequest&, HTTPServerResponse& response) {
-  std::this_thread::sleep_for(kNewsHeld);
+void answer_no_change(HTTPServerRequest&, HTTPServerResponse& response) {
+  std::this_thread::sleep_for(kPollHoldTime);
   response.setContentType("application/json");
   send(response, R"({"seq":1,"results":[]})");
 }
@@ -80,7 +81,8 @@
   Poco::AutoPtr<Poco::Net::HTTPServerParams> params(new Poco::Net::HTTPServerParams);
   params->setKeepAlive(true);
   auto server = std::make_unique<Poco::Net::HTTPServer>(
-      Poco::SharedPtr<Poco::Net::HTTPRequestHandlerFactory>(new Handlers(std::move(answer))), socket, params);
+      Poco::SharedPtr<Poco::Net::HTTPRequestHandlerFactory>(new HandlerFactory(std::move(answer))), socket,
+      params);
   server->start();
   return server;
 }
@@ -94,7 +96,7 @@
 StandIns::StandIns() {
   for (int i = 1; i <= 2; ++i)
     servers_.push_back(serve([i](auto& request, auto& response) { run_query(i, request, response); }));
-  servers_.push_back(serve(tell_no_change));
+  servers_.push_back(serve(answer_no_change));
 }
 
 StandIns::~StandIns() {
--- a/src/sim/codec.cpp
+++ b/src/sim/codec.cpp
@@ -16,57 +16,59 @@
 
 }  // namespace
 
-bool Fields::absent(SizeType at) const { return at >= message_.Size() || message_[at].IsNull(); }
+bool EventReader::absent(SizeType at) const { return at >= message_.Size() || message_[at].IsNull(); }
 
-const Value& Fields::at(SizeType at, const char* name) const {
+const Value& EventReader::at(SizeType at, const char* name) const {
   if (absent(at)) wrong(name, "missing");
   return message_[at];
 }
 
-std::string Fields::text(SizeType i, const char* name) const {
+std::string EventReader::text(SizeType i, const char* name) const {
   const Value& v = at(i, name);
   if (!v.IsString()) wrong(name, "a text is needed");
   return {v.GetString(), v.GetStringLength()};
 }
 
-std::string Fields::text_or_empty(SizeType i, const char* name) const {
+std::string EventReader::text_or_empty(SizeType i, const char* name) const {
   if (absent(i) || (message_[i].IsNumber() && message_[i].GetDouble() == 0)) return "";
   return text(i, name);
 }
 
-std::int64_t Fields::integer(SizeType i, const char* name) const { return to_integer(at(i, name), name); }
+std::int64_t EventReader::integer(SizeType i, const char* name) const {
+  return to_integer(at(i, name), name);
+}
 
-std::int64_t Fields::integer_or(SizeType i, const char* name, std::int64_t otherwise) const {
-  return absent(i) ? otherwise : integer(i, name);
+std::int64_t EventReader::integer_or(SizeType i, const char* name, std::int64_t fallback) const {
+  return absent(i) ? fallback : integer(i, name);
 }
 
-QueryId Fields::query(SizeType i, const char* name) const {
+QueryId EventReader::query(SizeType i, const char* name) const {
   const std::int64_t v = integer(i, name);
   if (v < 0 || v > std::numeric_limits<QueryId>::max()) wrong(name, "a number below 2^32 is needed");
   return static_cast<QueryId>(v);
 }
 
-double Fields::number(SizeType i, const char* name) const {
+double EventReader::number(SizeType i, const char* name) const {
   const Value& v = at(i, name);
   if (!v.IsNumber()) wrong(name, "a number is needed");
   return v.GetDouble();
 }
 
-double Fields::number_or(SizeType i, const char* name, double otherwise) const {
-  return absent(i) ? otherwise : number(i, name);
+double EventReader::number_or(SizeType i, const char* name, double fallback) const {
+  return absent(i) ? fallback : number(i, name);
 }
 
-bool Fields::flag(SizeType i, const char* name) const {
+bool EventReader::flag(SizeType i, const char* name) const {
   const Value& v = at(i, name);
   if (!v.IsBool()) wrong(name, "true or false is needed");
   return v.GetBool();
 }
 
-bool Fields::flag_or(SizeType i, const char* name, bool otherwise) const {
-  return absent(i) ? otherwise : flag(i, name);
+bool EventReader::flag_or(SizeType i, const char* name, bool fallback) const {
+  return absent(i) ? fallback : flag(i, name);
 }
 
-LoadReport Fields::report(SizeType i, const char* name) const {
+LoadReport EventReader::report(SizeType i, const char* name) const {
   LoadReport out;
   if (absent(i)) return out;
   for (const auto& m : object(i, name).GetObject())
@@ -74,13 +76,13 @@
   return out;
 }
 
-const Value& Fields::object(SizeType i, const char* name) const {
+const Value& EventReader::object(SizeType i, const char* name) const {
   const Value& v = at(i, name);
   if (!v.IsObject()) wrong(name, "an object is needed");
   return v;
 }
 
-const Value& Fields::array(SizeType i, const char* name) const {
+const Value& EventReader::array(SizeType i, const char* name) const {
   const Value& v = at(i, name);
   if (!v.IsArray()) wrong(name, "a list is needed");
   return v;
@@ -90,7 +92,7 @@
   std::vector<EngineEntry> out;
   for (const auto& v : list.GetArray()) {
     if (!v.IsArray()) wrong("membersList", "a list of lists is needed");
-    const Fields f(v);
+    const EventReader f(v);
     EngineEntry e;
     e.zone = f.text_or_empty(0, "rackZone");
     e.started_at = f.integer_or(2, "born", 0);
@@ -117,12 +119,12 @@
 std::string to_base64(const std::string& bytes) {
   std::string out;
   unsigned bits = 0;
-  int held = 0;
+  int bit_count = 0;
   for (const char c : bytes) {
     bits = (bits << 8 | static_cast<unsigned char>(c)) & 0xffffffU;
-    for (held += 8; held >= 6; held -= 6) out += kAlphabet[bits >> (held - 6) & 63];
+    for (bit_count += 8; bit_count >= 6; bit_count -= 6) out += kAlphabet[bits >> (bit_count - 6) & 63];
   }
-  if (held > 0) out += kAlphabet[bits << (6 - held) & 63];
+  if (bit_count > 0) out += kAlphabet[bits << (6 - bit_count) & 63];
   while (out.size() % 4 != 0) out += '=';
   return out;
 }
@@ -133,118 +135,118 @@
   for (int i = 0; i < 64; ++i) value[static_cast<unsigned char>(kAlphabet[i])] = i;
   std::string out;
   unsigned bits = 0;
-  int held = 0;
+  int bit_count = 0;
   for (const char c : text) {
     if (c == '=') break;
     const int v = value[static_cast<unsigned char>(c)];
     if (v < 0) wrong("bytes", "base64 is needed");
     bits = (bits << 6 | static_cast<unsigned>(v)) & 0xffffffU;
-    held += 6;
-    if (held >= 8) {
-      held -= 8;
-      out += static_cast<char>(bits >> held & 255);
+    bit_count += 6;
+    if (bit_count >= 8) {
+      bit_count -= 8;
+      out += static_cast<char>(bits >> bit_count & 255);
     }
   }
   return out;
 }
 
-Reply::Reply() {
+ReplyWriter::ReplyWriter() {
   writer_.StartObject();
   writer_.Key("output");
   writer_.StartArray();
 }
 
-std::string Reply::finish() {
+std::string ReplyWriter::finish() {
   writer_.EndArray();
   writer_.EndObject();
   return {buffer_.GetString(), buffer_.GetSize()};
 }
 
-void Reply::text(const std::string& value) {
+void ReplyWriter::text(const std::string& value) {
   writer_.String(value.data(), static_cast<SizeType>(value.size()));
 }
 
-void Reply::open(const char* word) {
+void ReplyWriter::begin_action(const char* word) {
   writer_.StartArray();
   writer_.String(word);
   text(instance_);
 }
 
-void Reply::fault(const std::string& why) {
-  open("BAIL_OUT");
+void ReplyWriter::instance_failed(const std::string& why) {
+  begin_action("BAIL_OUT");
   text(why);
   writer_.EndArray();
 }
 
-void Reply::send(QueryId query, const EngineId& engine, TimeUs stop_at) {
-  open("DISPATCH");
+void ReplyWriter::send(QueryId query, const EngineId& engine, TimeUs stop_at) {
+  begin_action("DISPATCH");
   writer_.Uint(query);
   writer_.Int64(stop_at);
   text(engine);
   writer_.EndArray();
 }
 
-void Reply::refuse(QueryId query, TimeUs retry_after) {
-  open("PUSH_BACK");
+void ReplyWriter::refuse(QueryId query, TimeUs retry_after) {
+  begin_action("PUSH_BACK");
   writer_.Uint(query);
   writer_.Int64(retry_after);
   writer_.EndArray();
 }
 
-void Reply::fail(QueryId query) {
-  open("ERROR");
+void ReplyWriter::fail(QueryId query) {
+  begin_action("ERROR");
   writer_.Uint(query);
   writer_.EndArray();
 }
 
-void Reply::cancel(QueryId query, int attempt) {
-  open("REVOKE");
+void ReplyWriter::cancel(QueryId query, int attempt) {
+  begin_action("REVOKE");
   writer_.Uint(query);
   writer_.Int(attempt);
   writer_.EndArray();
 }
 
-void Reply::set_terms(QueryId query, int priority, double grant_mb) {
-  open("LIMITS_FOR");
+void ReplyWriter::set_terms(QueryId query, int priority, double grant_mb) {
+  begin_action("LIMITS_FOR");
   writer_.Uint(query);
   writer_.Int(priority);
   writer_.Double(grant_mb);
   writer_.EndArray();
 }
 
-void Reply::probe(const EngineId& engine) {
-  open("SOUND_OUT");
+void ReplyWriter::probe(const EngineId& engine) {
+  begin_action("SOUND_OUT");
   text(engine);
   writer_.EndArray();
 }
 
-void Reply::subscribe() {
-  open("LISTEN");
+void ReplyWriter::subscribe() {
+  begin_action("LISTEN");
   writer_.Bool(true);
   writer_.EndArray();
 }
 
-void Reply::fetch_list() {
-  open("FETCH");
+void ReplyWriter::fetch_list() {
+  begin_action("FETCH");
   writer_.EndArray();
 }
 
-void Reply::tell_all(const std::string& bytes) {
-  open("NOTIFY");
+void ReplyWriter::tell_all(const std::string& bytes) {
+  begin_action("NOTIFY");
   writer_.String("all");
   text(to_base64(bytes));
   writer_.EndArray();
 }
 
-void Reply::set_timer(TimeUs delay, std::uint64_t token) {
-  open("ARM");
+void ReplyWriter::set_timer(TimeUs delay, std::uint64_t token) {
+  begin_action("ARM");
   writer_.Int64(delay);
   writer_.Uint64(token);
   writer_.EndArray();
 }
 
-void Reply::log(const std::string& message) {
-  open("PRINT");
+void ReplyWriter::log(const std::string& message) {
+  begin_action("PRINT");
   text(message);
   writer_.EndArray();
 }
--- a/src/sim/codec.h
+++ b/src/sim/codec.h
@@ -1,4 +1,5 @@
-// The bench's wire, as JSON lines: typed reading of one event's values, settings, and the reply's actions.
+// The simulator's wire, as JSON lines: typed reading of one event's values, and writing of the reply's
+// actions.
 #pragma once
 
 #include <rapidjson/document.h>
@@ -15,20 +16,21 @@
 
 using WireError = config::FieldError;
 
-// The values of one event, read by position; names serve the messages.
-class Fields {
+// Reads the values of one event by position. Throws WireError with `name` in its text if a value is missing
+// or of another type; the `_or` functions return the fallback for a missing value.
+class EventReader {
  public:
-  explicit Fields(const rapidjson::Value& message) : message_(message) {}
+  explicit EventReader(const rapidjson::Value& message) : message_(message) {}
   bool absent(rapidjson::SizeType at) const;
   std::string text(rapidjson::SizeType at, const char* name) const;
   std::string text_or_empty(rapidjson::SizeType at, const char* name) const;
   std::int64_t integer(rapidjson::SizeType at, const char* name) const;
-  std::int64_t integer_or(rapidjson::SizeType at, const char* name, std::int64_t otherwise) const;
+  std::int64_t integer_or(rapidjson::SizeType at, const char* name, std::int64_t fallback) const;
   QueryId query(rapidjson::SizeType at, const char* name) const;
   double number(rapidjson::SizeType at, const char* name) const;
-  double number_or(rapidjson::SizeType at, const char* name, double otherwise) const;
+  double number_or(rapidjson::SizeType at, const char* name, double fallback) const;
   bool flag(rapidjson::SizeType at, const char* name) const;
-  bool flag_or(rapidjson::SizeType at, const char* name, bool otherwise) const;
+  bool flag_or(rapidjson::SizeType at, const char* name, bool fallback) const;
   LoadReport report(rapidjson::SizeType at, const char* name) const;
   const rapidjson::Value& object(rapidjson::SizeType at, const char* name) const;
   const rapidjson::Value& array(rapidjson::SizeType at, const char* name) const;
@@ -38,19 +40,20 @@
   const rapidjson::Value& message_;
 };
 
+// These readers throw WireError if the input is malformed.
 std::vector<EngineEntry> read_entries(const rapidjson::Value& list);
 OutcomeKind read_outcome_kind(std::int64_t code);
 
 std::string to_base64(const std::string& bytes);
 std::string from_base64(const std::string& text);
 
-// Writes one reply; actions are those of the instance named last.
-class Reply final : public ActionSink {
+// Writes one reply. Each action is written for the instance that begin_instance() named last.
+class ReplyWriter final : public ActionSink {
  public:
-  Reply();
+  ReplyWriter();
   void begin_instance(const std::string& name) { instance_ = name; }
-  void fault(const std::string& why);
-  std::string finish();
+  void instance_failed(const std::string& why);  // the instance failed and is gone
+  std::string finish();  // the reply as one JSON line, without its line end; call once
 
   void send(QueryId query, const EngineId& engine, TimeUs stop_at) override;
   void refuse(QueryId query, TimeUs retry_after) override;
@@ -65,7 +68,7 @@
   void log(const std::string& text) override;
 
  private:
-  void open(const char* word);
+  void begin_action(const char* word);
   void text(const std::string& value);
   rapidjson::StringBuffer buffer_;
   rapidjson::Writer<rapidjson::StringBuffer> writer_{buffer_};
--- a/src/sim/host.cpp
+++ b/src/sim/host.cpp
@@ -5,79 +5,79 @@
 namespace orchidgw::sim {
 namespace {
 
-constexpr std::int64_t kNotePerMs = 4096;  // WIRE: 4096 x milliseconds of work + memory in steps of 4 MB
+constexpr std::int64_t kNoteUnitsPerMs = 4096;  // WIRE: 4096 x milliseconds of work + memory in steps of 4 MB
 constexpr double kNoteMemoryMb = 4;
 
 }  // namespace
 
 std::string Host::handle_line(const std::string& line) {
   ++line_number_;
-  Reply reply;
+  ReplyWriter reply;
   rapidjson::Document batch;
   batch.Parse(line.data(), line.size());
-  const auto complain = [&](const std::string& what) {
+  const auto report_error = [&](const std::string& what) {
     errors_ << "line " << line_number_ << ": " << what << std::endl;
   };
   if (batch.HasParseError() || !batch.IsObject()) {
-    complain("not a JSON object");
+    report_error("not a JSON object");
     return reply.finish();
   }
   const auto time = batch.FindMember("simTime");
   const auto events = batch.FindMember("arrivals");
   if (time == batch.MemberEnd() || !time->value.IsInt64()) {
-    complain("field 'simTime': a whole number is needed");
+    report_error("field 'simTime': a whole number is needed");
     return reply.finish();
   }
   if (events == batch.MemberEnd() || !events->value.IsArray()) {
-    complain("field 'arrivals': a list is needed");
+    report_error("field 'arrivals': a list is needed");
     return reply.finish();
   }
   int number = 0;
   for (const auto& message : events->value.GetArray()) {
     ++number;
     if (!message.IsArray() || message.Empty() || !message[0].IsString()) {
-      complain("event " + std::to_string(number) + ": a list that starts with a name is needed");
+      report_error("event " + std::to_string(number) + ": a list that starts with a name is needed");
       continue;
     }
     try {
       handle_event(time->value.GetInt64(), message, reply);
     } catch (const WireError& e) {
-      complain("event " + std::to_string(number) + " (" + message[0].GetString() + "): " + e.what());
+      report_error("event " + std::to_string(number) + " (" + message[0].GetString() + "): " + e.what());
     }
   }
   return reply.finish();
 }
 
-void Host::handle_event(TimeUs now, const rapidjson::Value& message, Reply& reply) {
-  const Fields f(message);
-  const std::string word = f.text(0, "name");
-  if (word == "REGISTER") {
+void Host::handle_event(TimeUs now, const rapidjson::Value& message, ReplyWriter& reply) {
+  const EventReader f(message);
+  const std::string event_name = f.text(0, "name");
+  if (event_name == "REGISTER") {
     const auto number = f.integer(1, "setId");
     if (number < 0 || number > 15) throw WireError("field 'setId': 0 to 15 is needed");
-    lists_[static_cast<size_t>(number)] = read_entries(f.array(2, "membersList"));
+    engine_lists_[static_cast<size_t>(number)] = read_entries(f.array(2, "membersList"));
     return;
   }
   const std::string name = f.text(1, "i");
   reply.begin_instance(name);
-  if (word == "UP") return start_instance(name, f, reply);
-  if (word == "DESTROY") {
+  if (event_name == "UP") return start_instance(name, f, reply);
+  if (event_name == "DESTROY") {
     instances_.erase(name);
     return;
   }
   const auto it = instances_.find(name);
   if (it == instances_.end()) throw WireError("field 'i': unknown instance '" + name + "'");
   try {
-    deliver(now, word, f, it->second, reply);
+    deliver(now, event_name, f, it->second, reply);
   } catch (const WireError&) {
     throw;
   } catch (const std::exception& e) {
-    // A failed instance must say so; its neighbours in the batch go on.
+    // The reply reports a failed instance; the other instances in the batch continue.
     instances_.erase(it);
-    reply.fault(std::string("decision module: ") + e.what());
+    reply.instance_failed(std::string("decision module: ") + e.what());
   }
 }
 
-void Host::start_instance(const std::string& name, const Fields& f, Reply& reply) {
+void Host::start_instance(const std::string& name, const EventReader& f, ReplyWriter& reply) {
   instances_.erase(name);
   const auto seed = static_cast<std::uint64_t>(f.integer_or(2, "seed", 0));
   try {
@@ -90,17 +90,18 @@
       instance.classes[settings.classes[i].name] = static_cast<int>(i);
     instances_[name] = std::move(instance);
   } catch (const std::exception& e) {
-    reply.fault(std::string("settings: ") + e.what());
+    reply.instance_failed(std::string("settings: ") + e.what());
   }
 }
 
-void Host::deliver(TimeUs now, const std::string& word, const Fields& f, Instance& instance, Reply& reply) {
+void Host::deliver(TimeUs now, const std::string& event_name, const EventReader& f, Instance& instance,
+                   ReplyWriter& reply) {
   DecisionModule& module = *instance.module;
-  if (word == "ROSTER_CHANGE") {
+  if (event_name == "ROSTER_CHANGE") {
     const std::string mode = f.text(2, "mode");
     if (mode == "Error") return module.on_engines(now, ListKind::kError, {}, reply);
     const auto number = f.integer(4, "setId");
-    if (number < 0 || number > 15 || !lists_[static_cast<size_t>(number)])
+    if (number < 0 || number > 15 || !engine_lists_[static_cast<size_t>(number)])
       throw WireError("field 'setId': unknown list");
     ListKind kind = ListKind::kFull;
     if (mode == "Partial") {
@@ -110,9 +111,9 @@
     } else if (mode != "Complete") {
       throw WireError("field 'mode': unknown word");
     }
-    return module.on_engines(now, kind, *lists_[static_cast<size_t>(number)], reply);
+    return module.on_engines(now, kind, *engine_lists_[static_cast<size_t>(number)], reply);
   }
-  if (word == "WORK_ITEM") {
+  if (event_name == "WORK_ITEM") {
     Query q;
     q.id = f.query(2, "req");
     q.tenant = f.text_or_empty(3, "project");
@@ -128,7 +129,7 @@
     q.cost_estimate = f.integer_or(11, "cost", 0);
     return module.on_query(now, q, reply);
   }
-  if (word == "DONE") {
+  if (event_name == "DONE") {
     Outcome o;
     o.query = f.query(2, "req");
     o.latency = f.integer(3, "latency");
@@ -139,12 +140,12 @@
     o.attempt = static_cast<int>(f.integer(8, "attempt"));
     o.report = f.report(9, "report");
     if (instance.tells_cost && o.kind == OutcomeKind::kOk && note > 0) {
-      o.told_cost = note / kNotePerMs * 1000;
-      o.told_memory_mb = static_cast<double>(note % kNotePerMs) * kNoteMemoryMb;
+      o.told_cost = note / kNoteUnitsPerMs * 1000;
+      o.told_memory_mb = static_cast<double>(note % kNoteUnitsPerMs) * kNoteMemoryMb;
     }
     return module.on_outcome(now, o, reply);
   }
-  if (word == "PROGRESS") {
+  if (event_name == "PROGRESS") {
     Note n;
     n.query = f.query(2, "req");
     n.value = f.number_or(3, "level", 0);
@@ -155,15 +156,16 @@
     n.kind = static_cast<NoteKind>(kind - 1);
     return module.on_note(now, n, reply);
   }
-  if (word == "HANGUP") return module.on_client_gone(now, f.query(2, "req"), reply);
-  if (word == "WAKEUP") return module.on_timer(now, static_cast<std::uint64_t>(f.integer(2, "mark")), reply);
-  if (word == "NOTE_FROM")
+  if (event_name == "HANGUP") return module.on_client_gone(now, f.query(2, "req"), reply);
+  if (event_name == "WAKEUP")
+    return module.on_timer(now, static_cast<std::uint64_t>(f.integer(2, "mark")), reply);
+  if (event_name == "NOTE_FROM")
     return module.on_peer(now, static_cast<int>(f.integer(2, "originPeer")), from_base64(f.text(3, "bytes")),
                           reply);
-  if (word == "CHECKED")
+  if (event_name == "CHECKED")
     return module.on_probe(now, f.text(2, "executor"), f.integer(3, "verdict") == 0, f.report(5, "report"),
                            reply);
-  if (word == "HEADERS")
+  if (event_name == "HEADERS")
     return module.on_stream_started(now, f.query(2, "req"), f.text(3, "executor"), reply);
   throw WireError("unknown event");
 }
--- a/src/sim/host.h
+++ b/src/sim/host.h
@@ -1,4 +1,5 @@
-// Hosts the decision module's instances: one line of events in, one line of actions out. Decides nothing.
+// Runs instances of the decision module: a line of events in, a line of actions out. Makes no decisions
+// itself.
 #pragma once
 
 #include <array>
@@ -18,6 +19,8 @@
 class Host {
  public:
   explicit Host(std::ostream& errors) : errors_(errors) {}
+  // Handles one batch of events and returns the reply, without a line end. A malformed event is skipped and
+  // reported to `errors`, a line each.
   std::string handle_line(const std::string& line);
 
  private:
@@ -26,14 +29,15 @@
     std::map<std::string, int> classes;
     bool tells_cost = false;
   };
-  void handle_event(TimeUs now, const rapidjson::Value& message, Reply& reply);
-  void start_instance(const std::string& name, const Fields& fields, Reply& reply);
-  void deliver(TimeUs now, const std::string& word, const Fields& f, Instance& instance, Reply& reply);
+  void handle_event(TimeUs now, const rapidjson::Value& message, ReplyWriter& reply);
+  void start_instance(const std::string& name, const EventReader& fields, ReplyWriter& reply);
+  void deliver(TimeUs now, const std::string& event_name, const EventReader& f, Instance& instance,
+               ReplyWriter& reply);
 
   std::ostream& errors_;
   std::uint64_t line_number_ = 0;
   std::map<std::string, Instance> instances_;
-  std::array<std::optional<std::vector<EngineEntry>>, 16> lists_;
+  std::array<std::optional<std::vector<EngineEntry>>, 16> engine_lists_;
 };
 
 }  // namespace orchidgw::sim
--- a/src/sim/main.cpp
+++ b/src/sim/main.cpp
@@ -1,4 +1,4 @@
-// orchidgw_sim: the decision module on the bench's wire, standard input to standard output.
+// orchidgw_sim: the decision module on the simulator's wire; reads standard input, writes standard output.
 #include <iostream>
 #include <string>
 
--- a/tests/unit/admin_command_test.cpp
+++ b/tests/unit/admin_command_test.cpp
@@ -1,4 +1,4 @@
-// The administration's line protocol.
+// The line protocol of the administration socket.
 #include "admin/admin_command.h"
 
 #include <gtest/gtest.h>
@@ -10,7 +10,7 @@
   std::string why;
   for (const AdminCommand& command :
        {AdminCommand{}, AdminCommand{AdminCommand::Kind::kLevelSet, "reduced", 600'000'000}}) {
-    std::string line = write_admin(command);
+    std::string line = format_admin_command(command);
     ASSERT_EQ(line.back(), '\n');
     line.pop_back();
     const auto read = parse_admin(line, why);
--- a/tests/unit/command_line_test.cpp
+++ b/tests/unit/command_line_test.cpp
@@ -1,4 +1,4 @@
-// The command line: commands, options, and what comes before what.
+// The command line: commands, options, and which source of an option takes precedence.
 #include "cli/command_line.h"
 
 #include <gtest/gtest.h>
@@ -17,7 +17,7 @@
   }
   void TearDown() override { SetUp(); }
 
-  std::optional<CommandLine> line(std::vector<const char*> words) {
+  std::optional<CommandLine> parse_line(std::vector<const char*> words) {
     words.insert(words.begin(), "orchidgw");
     return parse(static_cast<int>(words.size()), words.data(), exit_code);
   }
@@ -28,29 +28,30 @@
 TEST_F(CommandLineTest, WithoutACommandItServesAsTheEnvironmentSays) {
   ::setenv("BALANCER_CONFIG", "/a", 1);
   ::setenv("ORCHIDGW_LIMITS", "/l", 1);
-  const auto parsed = line({});
+  const auto parsed = parse_line({});
   ASSERT_TRUE(parsed);
   EXPECT_EQ(parsed->command, CommandLine::Command::kServe);
   EXPECT_EQ(parsed->sources.config, "/a");
   EXPECT_EQ(parsed->sources.limits, "/l");
 }
 
-// Guards against the environment of a command that undoes a flag before it.
+// Guards against an environment variable that overrides a flag placed before the command.
 TEST_F(CommandLineTest, AFlagComesBeforeTheEnvironmentOnEitherSideOfTheCommand) {
   ::setenv("BALANCER_CONFIG", "/environment", 1);
-  EXPECT_EQ(line({"--config", "/flag", "check"})->sources.config, "/flag");
-  EXPECT_EQ(line({"check", "--config", "/flag"})->sources.config, "/flag");
-  EXPECT_EQ(line({"check"})->sources.config, "/environment");
+  EXPECT_EQ(parse_line({"--config", "/flag", "check"})->sources.config, "/flag");
+  EXPECT_EQ(parse_line({"check", "--config", "/flag"})->sources.config, "/flag");
+  EXPECT_EQ(parse_line({"check"})->sources.config, "/environment");
 }
 
 TEST_F(CommandLineTest, KnowsItsCommands) {
-  EXPECT_EQ(line({"serve"})->command, CommandLine::Command::kServe);
-  EXPECT_EQ(line({"version"})->command, CommandLine::Command::kVersion);
-  const auto explain = line({"explain", "--class", "lookup", "--tenant", "t", "--table", "a.b", "--key"});
+  EXPECT_EQ(parse_line({"serve"})->command, CommandLine::Command::kServe);
+  EXPECT_EQ(parse_line({"version"})->command, CommandLine::Command::kVersion);
+  const auto explain =
+      parse_line({"explain", "--class", "lookup", "--tenant", "t", "--table", "a.b", "--key"});
   ASSERT_TRUE(explain);
   EXPECT_EQ(explain->command, CommandLine::Command::kExplain);
   EXPECT_EQ(explain->explain.class_name, "lookup");
-  EXPECT_TRUE(explain->explain.keyed);
+  EXPECT_TRUE(explain->explain.has_key);
 }
 
 TEST_F(CommandLineTest, AWrongLineIsUsage) {
@@ -61,14 +62,14 @@
                                                                  {"--log-level", "loud"},
                                                                  {"--config"}}) {
     exit_code = -1;
-    EXPECT_FALSE(line(words)) << words[0];
-    EXPECT_EQ(exit_code, kUsage) << words[0];
+    EXPECT_FALSE(parse_line(words)) << words[0];
+    EXPECT_EQ(exit_code, kExitUsage) << words[0];
   }
 }
 
 TEST_F(CommandLineTest, HelpIsGood) {
-  EXPECT_FALSE(line({"--help"}));
-  EXPECT_EQ(exit_code, kGood);
+  EXPECT_FALSE(parse_line({"--help"}));
+  EXPECT_EQ(exit_code, kExitSuccess);
 }
 
 }  // namespace
--- a/tests/unit/log_and_counters_test.cpp
+++ b/tests/unit/log_and_counters_test.cpp
@@ -1,4 +1,4 @@
-// The level filter of the log, and the counters as they are printed.
+// The level filter of the log, and the printed form of the counters.
 #include <gtest/gtest.h>
 
 #include <sstream>
--- a/tests/unit/log_lines_test.cpp
+++ b/tests/unit/log_lines_test.cpp
@@ -1,5 +1,5 @@
-// Log lines: their two forms, what is escaped, levels by component, repeats; and the output that waits for
-// nobody.
+// Log lines: text and JSON format, escaping, levels by component, suppressed repeats; and BoundedOutput,
+// which never blocks.
 #include <fcntl.h>
 #include <gtest/gtest.h>
 #include <rapidjson/document.h>
@@ -37,7 +37,7 @@
   EXPECT_GT(line["ts_ms"].GetInt64(), 1'600'000'000'000);
 }
 
-// Guards against a client that writes a log line of its own.
+// Guards against a client that forges a log line.
 TEST(LogLines, NothingFromOutsideBeginsALine) {
   std::ostringstream out;
   Logger logger(out, Level::kInfo, "n3");
@@ -102,8 +102,9 @@
   BoundedOutput output(pipe.write_end, 10'000);
   std::ostream out(&output);
   const std::string line(99, 'x');
-  for (int i = 0; i < 5'000; ++i) out << line << std::endl;  // far more than the pipe holds, and nobody reads
-  EXPECT_LE(output.kept_bytes(), 10'000U);
+  for (int i = 0; i < 5'000; ++i)
+    out << line << std::endl;  // far more than the pipe holds, and nothing reads it
+  EXPECT_LE(output.buffered_bytes(), 10'000U);
   EXPECT_GT(output.dropped_lines(), 1'000U);
 }
 
@@ -122,7 +123,7 @@
             std::string::npos);
   std::istringstream lines(read);
   for (std::string one; std::getline(lines, one);)
-    EXPECT_TRUE(one == line || one.starts_with("log: ")) << one;  // whole ones only
+    EXPECT_TRUE(one == line || one.starts_with("log: ")) << one;  // whole lines only
 }
 
 }  // namespace
