--- a/src/cli/command_line.cpp
+++ b/src/cli/command_line.cpp
@@ -101,8 +101,9 @@
     return command;
   };
   add_store_command("inspect", "print its owner, term, vote and log, and what is leased");
-  const CLI::App* verify = add_store_command("verify", "read all of it, and report what can't be read");
-  const CLI::App* exported = add_store_command("export", "print the entries of its log, one per line");
+  const CLI::App* verify_command =
+      add_store_command("verify", "read all of it, and report what can't be read");
+  const CLI::App* export_command = add_store_command("export", "print the entries of its log, one per line");
   store->require_subcommand(1);
   CLI::App* status =
       app.add_subcommand("status", "print levels and counts, through the administration socket");
@@ -120,8 +121,8 @@
   if (fleet_status->parsed()) out.command = CommandLine::Command::kFleetStatus;
   if (recover->parsed()) out.command = CommandLine::Command::kFleetRecover;
   if (store->parsed()) out.command = CommandLine::Command::kStore;
-  if (verify->parsed()) out.store = StoreCommand::kVerify;
-  if (exported->parsed()) out.store = StoreCommand::kExport;
+  if (verify_command->parsed()) out.store = StoreCommand::kVerify;
+  if (export_command->parsed()) out.store = StoreCommand::kExport;
   if (status->parsed()) out.command = CommandLine::Command::kStatus;
   if (version->parsed()) out.command = CommandLine::Command::kVersion;
   return out;
--- a/src/cli/commands.cpp
+++ b/src/cli/commands.cpp
@@ -36,16 +36,17 @@
   const auto loaded = load(line.sources, err);
   if (!loaded) return kExitFailure;
   const Settings& settings = loaded->controller.settings;
-  const auto it = std::find_if(settings.classes.begin(), settings.classes.end(),
-                               [&](const ClassSettings& one) { return one.name == line.explain.class_name; });
-  if (it == settings.classes.end()) {
+  const auto class_settings =
+      std::find_if(settings.classes.begin(), settings.classes.end(),
+                   [&](const ClassSettings& one) { return one.name == line.explain.class_name; });
+  if (class_settings == settings.classes.end()) {
     err << "orchidgw: --class: the settings have no class '" << line.explain.class_name << "'\n";
     return kExitFailure;
   }
   const ExplainOptions& options = line.explain;
-  const auto explained =
-      limits::explain(settings, loaded->limits.get(), static_cast<int>(it - settings.classes.begin()),
-                      options.tenant, options.table, options.has_key);
+  const auto explained = limits::explain(settings, loaded->limits.get(),
+                                         static_cast<int>(class_settings - settings.classes.begin()),
+                                         options.tenant, options.table, options.has_key);
   out << "route: " << explained.route << '\n';
   for (const limits::Explained& limit : explained.limits)
     out << std::left << std::setw(22) << limit.field << std::setw(44) << limit.value << limit.set_by << '\n';
--- a/src/log/bounded_output.cpp
+++ b/src/log/bounded_output.cpp
@@ -47,8 +47,8 @@
 }
 
 bool BoundedOutput::is_writable(int timeout_ms) const {
-  pollfd p{fd_, POLLOUT, 0};
-  return ::poll(&p, 1, timeout_ms) == 1 && (p.revents & (POLLERR | POLLNVAL)) == 0;
+  pollfd poll_entry{fd_, POLLOUT, 0};
+  return ::poll(&poll_entry, 1, timeout_ms) == 1 && (poll_entry.revents & (POLLERR | POLLNVAL)) == 0;
 }
 
 int BoundedOutput::sync() {
--- a/src/log/log.cpp
+++ b/src/log/log.cpp
@@ -125,9 +125,9 @@
 void Logger::write(Level level, Component component, std::string_view text,
                    std::initializer_list<Field> fields) {
   if (!on(level, component)) return;
-  const char* part = kComponentNames[static_cast<std::size_t>(component)];
+  const char* component_name = kComponentNames[static_cast<std::size_t>(component)];
   LineText line(choice_.format);
-  line.append_header(name_of(level), name_, part, text);
+  line.append_header(name_of(level), name_, component_name, text);
   for (const Field& field : fields) line.append_field(field);
   sink_->write(level, std::move(line).take());
 }
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -91,28 +91,30 @@
   return answer.starts_with("error") ? orchidgw::cli::kExitFailure : orchidgw::cli::kExitSuccess;
 }
 
-int run(const orchidgw::cli::CommandLine& line) {
+int run(const orchidgw::cli::CommandLine& command_line) {
   using Command = orchidgw::cli::CommandLine::Command;
-  switch (line.command) {
+  switch (command_line.command) {
     case Command::kServe:
-      return serve(line.sources);
+      return serve(command_line.sources);
     case Command::kCheck:
-      return orchidgw::cli::run_check(line.sources, std::cout, std::cerr);
+      return orchidgw::cli::run_check(command_line.sources, std::cout, std::cerr);
     case Command::kExplain:
-      return orchidgw::cli::run_explain(line, std::cout, std::cerr);
+      return orchidgw::cli::run_explain(command_line, std::cout, std::cerr);
     case Command::kReplay:
-      return orchidgw::cli::run_replay(line.sources, line.signals_path, std::cout, std::cerr);
+      return orchidgw::cli::run_replay(command_line.sources, command_line.signals_path, std::cout, std::cerr);
     case Command::kStatus:
-      return ask_admin_socket(line.sources.admin, {});
+      return ask_admin_socket(command_line.sources.admin, {});
     case Command::kFleetStatus:
-      return ask_admin_socket(line.sources.admin, {orchidgw::admin::AdminCommand::Kind::kFleetStatus, "", 0});
+      return ask_admin_socket(command_line.sources.admin,
+                              {orchidgw::admin::AdminCommand::Kind::kFleetStatus, "", 0});
     case Command::kFleetRecover:
-      return orchidgw::cli::run_recover(line.sources, line.recover, std::cout, std::cerr);
+      return orchidgw::cli::run_recover(command_line.sources, command_line.recover, std::cout, std::cerr);
     case Command::kLevelSet:
-      return ask_admin_socket(line.sources.admin, {orchidgw::admin::AdminCommand::Kind::kLevelSet, line.level,
-                                                   line.duration_s * 1'000'000});
+      return ask_admin_socket(command_line.sources.admin,
+                              {orchidgw::admin::AdminCommand::Kind::kLevelSet, command_line.level,
+                               command_line.duration_s * 1'000'000});
     case Command::kStore:
-      return orchidgw::cli::run_store(line.store, line.folder, std::cout, std::cerr);
+      return orchidgw::cli::run_store(command_line.store, command_line.folder, std::cout, std::cerr);
     case Command::kVersion:
       return orchidgw::cli::run_version(std::cout);
   }
@@ -124,8 +126,8 @@
 int main(int argc, char** argv) {
   int exit_code = 0;
   try {
-    const auto line = orchidgw::cli::parse(argc, argv, exit_code);
-    return line ? run(*line) : exit_code;
+    const auto command_line = orchidgw::cli::parse(argc, argv, exit_code);
+    return command_line ? run(*command_line) : exit_code;
   } catch (const orchidgw::configuration::ConfigurationError& e) {
     for (const std::string& text : e.lines()) fail(text);
     return orchidgw::cli::kExitFailure;
--- a/src/metrics/counters.cpp
+++ b/src/metrics/counters.cpp
@@ -7,8 +7,8 @@
   out << "counter " << name << ' ' << value << '\n';
 }
 
-void print_line(std::ostream& out, const char* name, const Gauge& level) {
-  out << "counter " << name << ' ' << level.now << " most " << level.most << '\n';
+void print_line(std::ostream& out, const char* name, const Gauge& gauge) {
+  out << "counter " << name << ' ' << gauge.now << " most " << gauge.most << '\n';
 }
 
 void print_line(std::ostream& out, const char* name, const DurationStats& stats) {
@@ -18,81 +18,82 @@
 }
 
 // One line for each counter that is not 0.
-template <typename Numbers>
-void print_non_zero(std::ostream& out, const char* where, const Numbers& all,
+template <typename Values>
+void print_non_zero(std::ostream& out, const char* group, const Values& values,
                     const char* (*name)(std::size_t)) {
-  for (std::size_t i = 0; i < all.size(); ++i) {
-    if (all[i] == 0) continue;
-    out << "counter " << where << '.' << name(i) << ' ' << all[i] << '\n';
+  for (std::size_t i = 0; i < values.size(); ++i) {
+    if (values[i] == 0) continue;
+    out << "counter " << group << '.' << name(i) << ' ' << values[i] << '\n';
   }
 }
 
 }  // namespace
 
-void print(const Counters& c, const Names& names, std::ostream& out) {
-  print_line(out, "queries.taken", c.taken);
-  print_line(out, "queries.served", c.served);
-  print_line(out, "queries.refused", c.refused);
-  print_line(out, "queries.failed", c.failed);
-  print_line(out, "queries.rejected", c.rejected);
-  print_line(out, "queries.aborted", c.aborted);
-  print_line(out, "queries.open", c.open_queries);
-  print_line(out, "queries.waiting", c.waiting_queries);
-  for (std::size_t i = 0; i < c.refusals.size(); ++i) {
-    if (c.refusals[i] == 0) continue;
-    out << "counter queries.refused." << name_of(static_cast<Reason>(i)) << ' ' << c.refusals[i] << '\n';
+void print(const Counters& counters, const Names& names, std::ostream& out) {
+  print_line(out, "queries.taken", counters.taken);
+  print_line(out, "queries.served", counters.served);
+  print_line(out, "queries.refused", counters.refused);
+  print_line(out, "queries.failed", counters.failed);
+  print_line(out, "queries.rejected", counters.rejected);
+  print_line(out, "queries.aborted", counters.aborted);
+  print_line(out, "queries.open", counters.open_queries);
+  print_line(out, "queries.waiting", counters.waiting_queries);
+  for (std::size_t i = 0; i < counters.refusals.size(); ++i) {
+    if (counters.refusals[i] == 0) continue;
+    out << "counter queries.refused." << name_of(static_cast<Reason>(i)) << ' ' << counters.refusals[i]
+        << '\n';
   }
-  print_line(out, "attempts.sent", c.sent);
-  for (std::size_t i = 0; i < c.outcomes.size(); ++i) {
+  print_line(out, "attempts.sent", counters.sent);
+  for (std::size_t i = 0; i < counters.outcomes.size(); ++i) {
     if (const char* name = names.outcome(i))
-      out << "counter attempts." << name << ' ' << c.outcomes[i] << '\n';
+      out << "counter attempts." << name << ' ' << counters.outcomes[i] << '\n';
   }
-  print_line(out, "calls.made", c.calls);
-  print_line(out, "calls.open", c.open_calls);
-  print_line(out, "calls.asked_again", c.asked_again);
-  print_line(out, "calls.unconfirmed", c.unconfirmed);
-  print_non_zero(out, "starts.denied", c.starts_denied, names.denial);
-  print_non_zero(out, "violations", c.violations, names.denial);
-  print_line(out, "queries.overdue", c.answers_overdue);
-  print_non_zero(out, "client_ends", c.client_ends, names.end);
-  print_non_zero(out, "engine_ends", c.engine_ends, names.end);
-  print_non_zero(out, "change_log_ends", c.change_log_ends, names.end);
-  print_line(out, "connections.accepted", c.accepted);
-  print_line(out, "connections.connected", c.connected);
-  print_line(out, "connections.reused", c.reused);
-  print_line(out, "connections.clients", c.clients);
-  print_line(out, "connections.engines", c.engine_connections);
-  print_line(out, "calls.waiting", c.waiting_calls);
-  print_line(out, "buffers", c.buffers);
-  print_line(out, "descriptors", c.descriptors);
-  print_line(out, "bytes.client_in", c.client_bytes_in);
-  print_line(out, "bytes.client_out", c.client_bytes_out);
-  print_line(out, "bytes.engine_in", c.engine_bytes_in);
-  print_line(out, "bytes.engine_out", c.engine_bytes_out);
-  print_line(out, "bytes.change_log_in", c.change_log_bytes_in);
-  print_line(out, "bytes.change_log_out", c.change_log_bytes_out);
-  if (c.fleet_sent > 0) {
-    print_line(out, "bytes.fleet_in", c.fleet_bytes_in);
-    print_line(out, "bytes.fleet_out", c.fleet_bytes_out);
-    print_line(out, "fleet.sent", c.fleet_sent);
-    print_line(out, "fleet.received", c.fleet_received);
-    print_line(out, "fleet.dropped", c.fleet_dropped);
-    print_line(out, "fleet.shares", c.fleet_shares);
+  print_line(out, "calls.made", counters.calls);
+  print_line(out, "calls.open", counters.open_calls);
+  print_line(out, "calls.asked_again", counters.asked_again);
+  print_line(out, "calls.unconfirmed", counters.unconfirmed);
+  print_non_zero(out, "starts.denied", counters.starts_denied, names.denial);
+  print_non_zero(out, "violations", counters.violations, names.denial);
+  print_line(out, "queries.overdue", counters.answers_overdue);
+  print_non_zero(out, "client_ends", counters.client_ends, names.end);
+  print_non_zero(out, "engine_ends", counters.engine_ends, names.end);
+  print_non_zero(out, "change_log_ends", counters.change_log_ends, names.end);
+  print_line(out, "connections.accepted", counters.accepted);
+  print_line(out, "connections.connected", counters.connected);
+  print_line(out, "connections.reused", counters.reused);
+  print_line(out, "connections.clients", counters.clients);
+  print_line(out, "connections.engines", counters.engine_connections);
+  print_line(out, "calls.waiting", counters.waiting_calls);
+  print_line(out, "buffers", counters.buffers);
+  print_line(out, "descriptors", counters.descriptors);
+  print_line(out, "bytes.client_in", counters.client_bytes_in);
+  print_line(out, "bytes.client_out", counters.client_bytes_out);
+  print_line(out, "bytes.engine_in", counters.engine_bytes_in);
+  print_line(out, "bytes.engine_out", counters.engine_bytes_out);
+  print_line(out, "bytes.change_log_in", counters.change_log_bytes_in);
+  print_line(out, "bytes.change_log_out", counters.change_log_bytes_out);
+  if (counters.fleet_sent > 0) {
+    print_line(out, "bytes.fleet_in", counters.fleet_bytes_in);
+    print_line(out, "bytes.fleet_out", counters.fleet_bytes_out);
+    print_line(out, "fleet.sent", counters.fleet_sent);
+    print_line(out, "fleet.received", counters.fleet_received);
+    print_line(out, "fleet.dropped", counters.fleet_dropped);
+    print_line(out, "fleet.shares", counters.fleet_shares);
   }
-  print_line(out, "list.changes", c.list_changes);
-  print_line(out, "list.calls", c.change_log_calls);
-  print_line(out, "config.reloads", c.reloads);
-  print_line(out, "config.reloads_failed", c.reloads_failed);
-  print_line(out, "loop.wall_clock_steps", c.wall_clock_steps);
-  print_line(out, "loop.turns", c.turns);
-  print_line(out, "loop.late_turns", c.late_turns);
-  print_line(out, "loop.reads_paused", c.reads_paused);
-  print_line(out, "loop.accepts_paused", c.accepts_paused);
-  print_line(out, "loop.timer_lateness", c.timers);
-  print_line(out, "loop.turn_length", c.turn);
-  print_line(out, "loop.read_lateness", c.reads);
-  print_line(out, "loop.reducer_time", c.reducer);
-  print_line(out, "engines.connect_time", c.connects);
+  print_line(out, "list.changes", counters.list_changes);
+  print_line(out, "list.calls", counters.change_log_calls);
+  print_line(out, "config.reloads", counters.reloads);
+  print_line(out, "config.reloads_failed", counters.reloads_failed);
+  print_line(out, "loop.wall_clock_steps", counters.wall_clock_steps);
+  print_line(out, "loop.turns", counters.turns);
+  print_line(out, "loop.late_turns", counters.late_turns);
+  print_line(out, "loop.reads_paused", counters.reads_paused);
+  print_line(out, "loop.accepts_paused", counters.accepts_paused);
+  print_line(out, "loop.timer_lateness", counters.timers);
+  print_line(out, "loop.turn_length", counters.turn);
+  print_line(out, "loop.read_lateness", counters.reads);
+  print_line(out, "loop.reducer_time", counters.reducer);
+  print_line(out, "engines.connect_time", counters.connects);
   out << std::flush;
 }
 
--- a/src/sample/ask.cpp
+++ b/src/sample/ask.cpp
@@ -44,11 +44,11 @@
   return framed.text();
 }
 
-void receive(Poco::Net::StreamSocket& socket, char* to, std::size_t n) {
-  for (std::size_t got = 0; got < n;) {
-    const int more = socket.receiveBytes(to + got, static_cast<int>(n - got));
-    if (more <= 0) throw std::runtime_error("the connection was closed without an answer");
-    got += static_cast<std::size_t>(more);
+void receive(Poco::Net::StreamSocket& socket, char* destination, std::size_t length) {
+  for (std::size_t received = 0; received < length;) {
+    const int count = socket.receiveBytes(destination + received, static_cast<int>(length - received));
+    if (count <= 0) throw std::runtime_error("the connection was closed without an answer");
+    received += static_cast<std::size_t>(count);
   }
 }
 
@@ -86,7 +86,7 @@
   in.bytes();
   in.u32();
   if ((head & 0xff) != static_cast<std::uint32_t>(thrift::MessageType::kReply)) {
-    reply.fields["why"] = "the controller rejected the request as malformed";
+    reply.fields["why"] = "the controller answered with a protocol error";
     return reply;
   }
   const auto type = static_cast<FieldType>(in.u8());
--- a/src/sample/ask.h
+++ b/src/sample/ask.h
@@ -22,8 +22,8 @@
   std::map<std::string, std::string> fields;  // `cooldown` with kRefused, `why` with kFailed
 };
 
-// Blocks until the answer is there. Throws std::exception if the connection fails, the answer is malformed,
-// or none comes within `wait_ms` and one second more.
+// Blocks until the answer is there. Throws std::exception if no connection is established within 2 s, if
+// nothing arrives for `wait_ms` and one second more, or if the answer is malformed.
 Reply ask(const Request& request);
 
 }  // namespace orchidgw::sample
--- a/src/sim/codec.cpp
+++ b/src/sim/codec.cpp
@@ -16,93 +16,96 @@
 
 }  // namespace
 
-bool EventReader::absent(SizeType at) const { return at >= message_.Size() || message_[at].IsNull(); }
+bool EventReader::absent(SizeType index) const {
+  return index >= message_.Size() || message_[index].IsNull();
+}
 
-const Value& EventReader::at(SizeType at, const char* name) const {
-  if (absent(at)) wrong(name, "missing");
-  return message_[at];
+const Value& EventReader::at(SizeType index, const char* name) const {
+  if (absent(index)) wrong(name, "missing");
+  return message_[index];
 }
 
-std::string EventReader::text(SizeType i, const char* name) const {
-  const Value& v = at(i, name);
-  if (!v.IsString()) wrong(name, "a text is needed");
-  return {v.GetString(), v.GetStringLength()};
+std::string EventReader::text(SizeType index, const char* name) const {
+  const Value& value = at(index, name);
+  if (!value.IsString()) wrong(name, "a text is needed");
+  return {value.GetString(), value.GetStringLength()};
 }
 
-std::string EventReader::text_or_empty(SizeType i, const char* name) const {
-  if (absent(i) || (message_[i].IsNumber() && message_[i].GetDouble() == 0)) return "";
-  return text(i, name);
+std::string EventReader::text_or_empty(SizeType index, const char* name) const {
+  if (absent(index) || (message_[index].IsNumber() && message_[index].GetDouble() == 0)) return "";
+  return text(index, name);
 }
 
-std::int64_t EventReader::integer(SizeType i, const char* name) const {
-  return to_integer(at(i, name), name);
+std::int64_t EventReader::integer(SizeType index, const char* name) const {
+  return to_integer(at(index, name), name);
 }
 
-std::int64_t EventReader::integer_or(SizeType i, const char* name, std::int64_t fallback) const {
-  return absent(i) ? fallback : integer(i, name);
+std::int64_t EventReader::integer_or(SizeType index, const char* name, std::int64_t fallback) const {
+  return absent(index) ? fallback : integer(index, name);
 }
 
-QueryId EventReader::query(SizeType i, const char* name) const {
-  const std::int64_t v = integer(i, name);
-  if (v < 0 || v > std::numeric_limits<QueryId>::max()) wrong(name, "a number below 2^32 is needed");
-  return static_cast<QueryId>(v);
+QueryId EventReader::query(SizeType index, const char* name) const {
+  const std::int64_t value = integer(index, name);
+  if (value < 0 || value > std::numeric_limits<QueryId>::max()) wrong(name, "a number below 2^32 is needed");
+  return static_cast<QueryId>(value);
 }
 
-double EventReader::number(SizeType i, const char* name) const {
-  const Value& v = at(i, name);
-  if (!v.IsNumber()) wrong(name, "a number is needed");
-  return v.GetDouble();
+double EventReader::number(SizeType index, const char* name) const {
+  const Value& value = at(index, name);
+  if (!value.IsNumber()) wrong(name, "a number is needed");
+  return value.GetDouble();
 }
 
-double EventReader::number_or(SizeType i, const char* name, double fallback) const {
-  return absent(i) ? fallback : number(i, name);
+double EventReader::number_or(SizeType index, const char* name, double fallback) const {
+  return absent(index) ? fallback : number(index, name);
 }
 
-bool EventReader::flag(SizeType i, const char* name) const {
-  const Value& v = at(i, name);
-  if (!v.IsBool()) wrong(name, "true or false is needed");
-  return v.GetBool();
+bool EventReader::flag(SizeType index, const char* name) const {
+  const Value& value = at(index, name);
+  if (!value.IsBool()) wrong(name, "true or false is needed");
+  return value.GetBool();
 }
 
-bool EventReader::flag_or(SizeType i, const char* name, bool fallback) const {
-  return absent(i) ? fallback : flag(i, name);
+bool EventReader::flag_or(SizeType index, const char* name, bool fallback) const {
+  return absent(index) ? fallback : flag(index, name);
 }
 
-LoadReport EventReader::report(SizeType i, const char* name) const {
+LoadReport EventReader::report(SizeType index, const char* name) const {
   LoadReport out;
-  if (absent(i)) return out;
-  for (const auto& m : object(i, name).GetObject())
-    if (m.value.IsNumber()) out[{m.name.GetString(), m.name.GetStringLength()}] = m.value.GetDouble();
+  if (absent(index)) return out;
+  for (const auto& member : object(index, name).GetObject())
+    if (member.value.IsNumber())
+      out[{member.name.GetString(), member.name.GetStringLength()}] = member.value.GetDouble();
   return out;
 }
 
-const Value& EventReader::object(SizeType i, const char* name) const {
-  const Value& v = at(i, name);
-  if (!v.IsObject()) wrong(name, "an object is needed");
-  return v;
+const Value& EventReader::object(SizeType index, const char* name) const {
+  const Value& value = at(index, name);
+  if (!value.IsObject()) wrong(name, "an object is needed");
+  return value;
 }
 
-const Value& EventReader::array(SizeType i, const char* name) const {
-  const Value& v = at(i, name);
-  if (!v.IsArray()) wrong(name, "a list is needed");
-  return v;
+const Value& EventReader::array(SizeType index, const char* name) const {
+  const Value& value = at(index, name);
+  if (!value.IsArray()) wrong(name, "a list is needed");
+  return value;
 }
 
 std::vector<EngineEntry> read_entries(const Value& list) {
   std::vector<EngineEntry> out;
-  for (const auto& v : list.GetArray()) {
-    if (!v.IsArray()) wrong("membersList", "a list of lists is needed");
-    const EventReader f(v);
-    EngineEntry e;
-    e.zone = f.text_or_empty(0, "rackZone");
-    e.started_at = f.integer_or(2, "born", 0);
-    const auto state = config::engine_state_named(f.text(3, "phase"));
+  for (const auto& item : list.GetArray()) {
+    if (!item.IsArray()) wrong("membersList", "a list of lists is needed");
+    const EventReader fields(item);
+    EngineEntry entry;
+    entry.zone = fields.text_or_empty(0, "rackZone");
+    entry.started_at = fields.integer_or(2, "born", 0);
+    const auto state = config::engine_state_named(fields.text(3, "phase"));
     if (!state) wrong("phase", "unknown word");
-    e.state = *state;
-    e.id = f.text(4, "executor");
-    e.kind = f.text_or_empty(5, "machine");
-    e.cell = static_cast<int>(f.integer_or(6, "bay", 0));
-    out.push_back(std::move(e));
+    entry.state = *state;
+    entry.id = fields.text(4, "executor");
+    entry.kind = fields.text_or_empty(5, "machine");
+    entry.cell = static_cast<int>(fields.integer_or(6, "bay", 0));
+    out.push_back(std::move(entry));
   }
   return out;
 }
@@ -130,17 +133,17 @@
 }
 
 std::string from_base64(const std::string& text) {
-  std::array<int, 256> value{};
-  value.fill(-1);
-  for (int i = 0; i < 64; ++i) value[static_cast<unsigned char>(kAlphabet[i])] = i;
+  std::array<int, 256> digits{};
+  digits.fill(-1);
+  for (int i = 0; i < 64; ++i) digits[static_cast<unsigned char>(kAlphabet[i])] = i;
   std::string out;
   unsigned bits = 0;
   int bit_count = 0;
   for (const char c : text) {
     if (c == '=') break;
-    const int v = value[static_cast<unsigned char>(c)];
-    if (v < 0) wrong("bytes", "base64 is needed");
-    bits = (bits << 6 | static_cast<unsigned>(v)) & 0xffffffU;
+    const int digit = digits[static_cast<unsigned char>(c)];
+    if (digit < 0) wrong("bytes", "base64 is needed");
+    bits = (bits << 6 | static_cast<unsigned>(digit)) & 0xffffffU;
     bit_count += 6;
     if (bit_count >= 8) {
       bit_count -= 8;
@@ -166,9 +169,9 @@
   writer_.String(value.data(), static_cast<SizeType>(value.size()));
 }
 
-void ReplyWriter::begin_action(const char* word) {
+void ReplyWriter::begin_action(const char* action) {
   writer_.StartArray();
-  writer_.String(word);
+  writer_.String(action);
   text(instance_);
 }
 
--- a/src/sim/codec.h
+++ b/src/sim/codec.h
@@ -21,22 +21,22 @@
 class EventReader {
  public:
   explicit EventReader(const rapidjson::Value& message) : message_(message) {}
-  bool absent(rapidjson::SizeType at) const;
-  std::string text(rapidjson::SizeType at, const char* name) const;
-  std::string text_or_empty(rapidjson::SizeType at, const char* name) const;
-  std::int64_t integer(rapidjson::SizeType at, const char* name) const;
-  std::int64_t integer_or(rapidjson::SizeType at, const char* name, std::int64_t fallback) const;
-  QueryId query(rapidjson::SizeType at, const char* name) const;
-  double number(rapidjson::SizeType at, const char* name) const;
-  double number_or(rapidjson::SizeType at, const char* name, double fallback) const;
-  bool flag(rapidjson::SizeType at, const char* name) const;
-  bool flag_or(rapidjson::SizeType at, const char* name, bool fallback) const;
-  LoadReport report(rapidjson::SizeType at, const char* name) const;
-  const rapidjson::Value& object(rapidjson::SizeType at, const char* name) const;
-  const rapidjson::Value& array(rapidjson::SizeType at, const char* name) const;
+  bool absent(rapidjson::SizeType index) const;
+  std::string text(rapidjson::SizeType index, const char* name) const;
+  std::string text_or_empty(rapidjson::SizeType index, const char* name) const;
+  std::int64_t integer(rapidjson::SizeType index, const char* name) const;
+  std::int64_t integer_or(rapidjson::SizeType index, const char* name, std::int64_t fallback) const;
+  QueryId query(rapidjson::SizeType index, const char* name) const;
+  double number(rapidjson::SizeType index, const char* name) const;
+  double number_or(rapidjson::SizeType index, const char* name, double fallback) const;
+  bool flag(rapidjson::SizeType index, const char* name) const;
+  bool flag_or(rapidjson::SizeType index, const char* name, bool fallback) const;
+  LoadReport report(rapidjson::SizeType index, const char* name) const;
+  const rapidjson::Value& object(rapidjson::SizeType index, const char* name) const;
+  const rapidjson::Value& array(rapidjson::SizeType index, const char* name) const;
 
  private:
-  const rapidjson::Value& at(rapidjson::SizeType at, const char* name) const;
+  const rapidjson::Value& at(rapidjson::SizeType index, const char* name) const;
   const rapidjson::Value& message_;
 };
 
@@ -68,7 +68,7 @@
   void log(const std::string& text) override;
 
  private:
-  void begin_action(const char* word);
+  void begin_action(const char* action);
   void text(const std::string& value);
   rapidjson::StringBuffer buffer_;
   rapidjson::Writer<rapidjson::StringBuffer> writer_{buffer_};
--- a/src/sim/host.h
+++ b/src/sim/host.h
@@ -26,17 +26,18 @@
  private:
   struct Instance {
     std::unique_ptr<DecisionModule> module;
-    std::map<std::string, int> classes;
+    std::map<std::string, int> classes;  // index of each class in the settings, by name
     bool tells_cost = false;
   };
   void handle_event(TimeUs now, const rapidjson::Value& message, ReplyWriter& reply);
   void start_instance(const std::string& name, const EventReader& fields, ReplyWriter& reply);
-  void deliver(TimeUs now, const std::string& event_name, const EventReader& f, Instance& instance,
+  void deliver(TimeUs now, const std::string& event_name, const EventReader& fields, Instance& instance,
                ReplyWriter& reply);
 
   std::ostream& errors_;
   std::uint64_t line_number_ = 0;
   std::map<std::string, Instance> instances_;
+  // Engine lists that REGISTER sent, by their number (setId); ROSTER_CHANGE refers to them.
   std::array<std::optional<std::vector<EngineEntry>>, 16> engine_lists_;
 };
 
