--- a/src/metrics/counters.h
+++ b/src/metrics/counters.h
@@ -54,7 +54,7 @@
   std::uint64_t served = 0;
   std::uint64_t refused = 0;
   std::uint64_t failed = 0;
-  std::uint64_t rejected = 0;  // malformed or invalid: answered on the protocol level only
+  std::uint64_t rejected = 0;  // could not be accepted: answered on the protocol level only
   std::uint64_t aborted = 0;   // aborted by the client, or the client disconnected
   Gauge open_queries;
   Gauge waiting_queries;                               // in a queue of the operators' limits
@@ -72,7 +72,7 @@
   // Forbidden actions that the decision module asked for, by reason. They are not carried out; any count is a
   // bug.
   std::array<std::uint64_t, kDenialsMost> violations{};
-  // Queries without a final answer by their deadline, which were failed for that reason.
+  // Queries without a final answer when their time was over; they were failed for that reason.
   std::uint64_t answers_overdue = 0;
   // Connections.
   std::array<std::uint64_t, kEndsMost> client_ends{};
@@ -107,7 +107,7 @@
   std::uint64_t reloads_failed = 0;
   std::uint64_t wall_clock_steps = 0;
   std::uint64_t turns = 0;
-  std::uint64_t late_turns = 0;  // whose timers waited for the next turn, after the sockets were read
+  std::uint64_t late_turns = 0;  // that acted only in the next turn, after the sockets were read
   std::uint64_t reads_paused = 0;
   std::uint64_t accepts_paused = 0;
   DurationStats timers;
@@ -117,7 +117,7 @@
   DurationStats connects;  // to establish a connection to an engine
 };
 
-// Writes a line for each counter and flushes.
+// Writes a line for each counter, without zeros of most arrays, and flushes.
 void print(const Counters& counters, const Names& names, std::ostream& out);
 
 }  // namespace orchidgw::metrics
