--- a/src/sim/host.cpp
+++ b/src/sim/host.cpp
@@ -5,83 +5,84 @@
 namespace orchidgw::sim {
 namespace {
 
-constexpr std::int64_t kNotePerMs = 4096;  // WIRE: 4096 x milliseconds of work + memory in steps of 4 MB
+constexpr std::int64_t kNoteUnitsPerMs = 4096;  // WIRE: 4096 x milliseconds of work + memory in steps of 4 MB
 constexpr double kNoteMemoryMb = 4;
 
 }  // namespace
 
 std::string Host::handle_line(const std::string& line) {
   ++line_number_;
-  Reply reply;
+  ReplyWriter reply;
   rapidjson::Document batch;
   batch.Parse(line.data(), line.size());
-  const auto complain = [&](const std::string& what) {
+  const auto report_error = [&](const std::string& what) {
     errors_ << "line " << line_number_ << ": " << what << std::endl;
   };
   if (batch.HasParseError() || !batch.IsObject()) {
-    complain("not a JSON object");
+    report_error("not a JSON object");
     return reply.finish();
   }
   const auto time = batch.FindMember("simTime");
   const auto events = batch.FindMember("arrivals");
   if (time == batch.MemberEnd() || !time->value.IsInt64()) {
-    complain("field 'simTime': a whole number is needed");
+    report_error("field 'simTime': a whole number is needed");
     return reply.finish();
   }
   if (events == batch.MemberEnd() || !events->value.IsArray()) {
-    complain("field 'arrivals': a list is needed");
+    report_error("field 'arrivals': a list is needed");
     return reply.finish();
   }
-  int number = 0;
+  int event_number = 0;
   for (const auto& message : events->value.GetArray()) {
-    ++number;
+    ++event_number;
     if (!message.IsArray() || message.Empty() || !message[0].IsString()) {
-      complain("event " + std::to_string(number) + ": a list that starts with a name is needed");
+      report_error("event " + std::to_string(event_number) + ": a list that starts with a name is needed");
       continue;
     }
     try {
       handle_event(time->value.GetInt64(), message, reply);
     } catch (const WireError& e) {
-      complain("event " + std::to_string(number) + " (" + message[0].GetString() + "): " + e.what());
+      report_error("event " + std::to_string(event_number) + " (" + message[0].GetString() +
+                   "): " + e.what());
     }
   }
   return reply.finish();
 }
 
-void Host::handle_event(TimeUs now, const rapidjson::Value& message, Reply& reply) {
-  const Fields f(message);
-  const std::string word = f.text(0, "name");
-  if (word == "REGISTER") {
-    const auto number = f.integer(1, "setId");
+void Host::handle_event(TimeUs now, const rapidjson::Value& message, ReplyWriter& reply) {
+  const EventReader fields(message);
+  const std::string event_name = fields.text(0, "name");
+  if (event_name == "REGISTER") {
+    const auto number = fields.integer(1, "setId");
     if (number < 0 || number > 15) throw WireError("field 'setId': 0 to 15 is needed");
-    lists_[static_cast<size_t>(number)] = read_entries(f.array(2, "membersList"));
+    engine_lists_[static_cast<size_t>(number)] = read_entries(fields.array(2, "membersList"));
     return;
   }
-  const std::string name = f.text(1, "i");
+  const std::string name = fields.text(1, "i");
   reply.begin_instance(name);
-  if (word == "UP") return start_instance(name, f, reply);
-  if (word == "DESTROY") {
+  if (event_name == "UP") return start_instance(name, fields, reply);
+  if (event_name == "DESTROY") {
     instances_.erase(name);
     return;
   }
   const auto it = instances_.find(name);
   if (it == instances_.end()) throw WireError("field 'i': unknown instance '" + name + "'");
   try {
-    deliver(now, word, f, it->second, reply);
+    deliver(now, event_name, fields, it->second, reply);
   } catch (const WireError&) {
     throw;
   } catch (const std::exception& e) {
-    // A failed instance must say so; its neighbours in the batch go on.
+    // The reply reports a failed instance; the other instances in the batch continue.
     instances_.erase(it);
-    reply.fault(std::string("decision module: ") + e.what());
+    reply.instance_failed(std::string("decision module: ") + e.what());
   }
 }
 
-void Host::start_instance(const std::string& name, const Fields& f, Reply& reply) {
+void Host::start_instance(const std::string& name, const EventReader& fields, ReplyWriter& reply) {
   instances_.erase(name);
-  const auto seed = static_cast<std::uint64_t>(f.integer_or(2, "seed", 0));
+  const auto seed = static_cast<std::uint64_t>(fields.integer_or(2, "seed", 0));
   try {
-    Settings settings = config::read_settings(f.object(3, "env"));
+    Settings settings = config::read_settings(fields.object(3, "env"));
     settings.limits.unsent_attempts_count = true;
     Instance instance;
     instance.module = make_workload_budget(settings, seed);
@@ -90,17 +91,18 @@
       instance.classes[settings.classes[i].name] = static_cast<int>(i);
     instances_[name] = std::move(instance);
   } catch (const std::exception& e) {
-    reply.fault(std::string("settings: ") + e.what());
+    reply.instance_failed(std::string("settings: ") + e.what());
   }
 }
 
-void Host::deliver(TimeUs now, const std::string& word, const Fields& f, Instance& instance, Reply& reply) {
+void Host::deliver(TimeUs now, const std::string& event_name, const EventReader& fields, Instance& instance,
+                   ReplyWriter& reply) {
   DecisionModule& module = *instance.module;
-  if (word == "ROSTER_CHANGE") {
-    const std::string mode = f.text(2, "mode");
+  if (event_name == "ROSTER_CHANGE") {
+    const std::string mode = fields.text(2, "mode");
     if (mode == "Error") return module.on_engines(now, ListKind::kError, {}, reply);
-    const auto number = f.integer(4, "setId");
-    if (number < 0 || number > 15 || !lists_[static_cast<size_t>(number)])
+    const auto number = fields.integer(4, "setId");
+    if (number < 0 || number > 15 || !engine_lists_[static_cast<size_t>(number)])
       throw WireError("field 'setId': unknown list");
     ListKind kind = ListKind::kFull;
     if (mode == "Partial") {
@@ -110,61 +112,63 @@
     } else if (mode != "Complete") {
       throw WireError("field 'mode': unknown word");
     }
-    return module.on_engines(now, kind, *lists_[static_cast<size_t>(number)], reply);
+    return module.on_engines(now, kind, *engine_lists_[static_cast<size_t>(number)], reply);
   }
-  if (word == "WORK_ITEM") {
-    Query q;
-    q.id = f.query(2, "req");
-    q.tenant = f.text_or_empty(3, "project");
-    q.table_group = f.integer_or(5, "sourceSet", 0);
-    const std::string klass = f.text(6, "qos");
-    const auto c = instance.classes.find(klass);
-    if (c == instance.classes.end()) throw WireError("field 'qos': unknown class '" + klass + "'");
-    q.class_index = c->second;
-    q.repeat = f.flag_or(7, "isRetry", false);
-    q.time_budget = f.integer(8, "timeBudget");
-    q.key = f.text_or_empty(9, "object");
-    q.memory_mb = f.number_or(10, "wantMb", 0);
-    q.cost_estimate = f.integer_or(11, "cost", 0);
-    return module.on_query(now, q, reply);
+  if (event_name == "WORK_ITEM") {
+    Query query;
+    query.id = fields.query(2, "req");
+    query.tenant = fields.text_or_empty(3, "project");
+    query.table_group = fields.integer_or(5, "sourceSet", 0);
+    const std::string class_name = fields.text(6, "qos");
+    const auto class_entry = instance.classes.find(class_name);
+    if (class_entry == instance.classes.end())
+      throw WireError("field 'qos': unknown class '" + class_name + "'");
+    query.class_index = class_entry->second;
+    query.repeat = fields.flag_or(7, "isRetry", false);
+    query.time_budget = fields.integer(8, "timeBudget");
+    query.key = fields.text_or_empty(9, "object");
+    query.memory_mb = fields.number_or(10, "wantMb", 0);
+    query.cost_estimate = fields.integer_or(11, "cost", 0);
+    return module.on_query(now, query, reply);
   }
-  if (word == "DONE") {
-    Outcome o;
-    o.query = f.query(2, "req");
-    o.latency = f.integer(3, "latency");
-    o.engine = f.text(4, "executor");
-    o.ended = f.flag_or(5, "terminal", false);
-    const std::int64_t note = f.integer_or(6, "note", 0);
-    o.kind = read_outcome_kind(f.integer(7, "verdict"));
-    o.attempt = static_cast<int>(f.integer(8, "attempt"));
-    o.report = f.report(9, "report");
-    if (instance.tells_cost && o.kind == OutcomeKind::kOk && note > 0) {
-      o.told_cost = note / kNotePerMs * 1000;
-      o.told_memory_mb = static_cast<double>(note % kNotePerMs) * kNoteMemoryMb;
+  if (event_name == "DONE") {
+    Outcome outcome;
+    outcome.query = fields.query(2, "req");
+    outcome.latency = fields.integer(3, "latency");
+    outcome.engine = fields.text(4, "executor");
+    outcome.ended = fields.flag_or(5, "terminal", false);
+    const std::int64_t note = fields.integer_or(6, "note", 0);
+    outcome.kind = read_outcome_kind(fields.integer(7, "verdict"));
+    outcome.attempt = static_cast<int>(fields.integer(8, "attempt"));
+    outcome.report = fields.report(9, "report");
+    if (instance.tells_cost && outcome.kind == OutcomeKind::kOk && note > 0) {
+      outcome.told_cost = note / kNoteUnitsPerMs * 1000;
+      outcome.told_memory_mb = static_cast<double>(note % kNoteUnitsPerMs) * kNoteMemoryMb;
     }
-    return module.on_outcome(now, o, reply);
+    return module.on_outcome(now, outcome, reply);
   }
-  if (word == "PROGRESS") {
-    Note n;
-    n.query = f.query(2, "req");
-    n.value = f.number_or(3, "level", 0);
-    n.engine = f.text(4, "executor");
-    n.attempt = static_cast<int>(f.integer(5, "attempt"));
-    const auto kind = f.integer(6, "kind");
+  if (event_name == "PROGRESS") {
+    Note note;
+    note.query = fields.query(2, "req");
+    note.value = fields.number_or(3, "level", 0);
+    note.engine = fields.text(4, "executor");
+    note.attempt = static_cast<int>(fields.integer(5, "attempt"));
+    const auto kind = fields.integer(6, "kind");
     if (kind < 1 || kind > 3) throw WireError("field 'kind': 1 to 3 is needed");
-    n.kind = static_cast<NoteKind>(kind - 1);
-    return module.on_note(now, n, reply);
+    note.kind = static_cast<NoteKind>(kind - 1);
+    return module.on_note(now, note, reply);
   }
-  if (word == "HANGUP") return module.on_client_gone(now, f.query(2, "req"), reply);
-  if (word == "WAKEUP") return module.on_timer(now, static_cast<std::uint64_t>(f.integer(2, "mark")), reply);
-  if (word == "NOTE_FROM")
-    return module.on_peer(now, static_cast<int>(f.integer(2, "originPeer")), from_base64(f.text(3, "bytes")),
-                          reply);
-  if (word == "CHECKED")
-    return module.on_probe(now, f.text(2, "executor"), f.integer(3, "verdict") == 0, f.report(5, "report"),
-                           reply);
-  if (word == "HEADERS")
-    return module.on_stream_started(now, f.query(2, "req"), f.text(3, "executor"), reply);
+  if (event_name == "HANGUP") return module.on_client_gone(now, fields.query(2, "req"), reply);
+  if (event_name == "WAKEUP")
+    return module.on_timer(now, static_cast<std::uint64_t>(fields.integer(2, "mark")), reply);
+  if (event_name == "NOTE_FROM")
+    return module.on_peer(now, static_cast<int>(fields.integer(2, "originPeer")),
+                          from_base64(fields.text(3, "bytes")), reply);
+  if (event_name == "CHECKED")
+    return module.on_probe(now, fields.text(2, "executor"), fields.integer(3, "verdict") == 0,
+                           fields.report(5, "report"), reply);
+  if (event_name == "HEADERS")
+    return module.on_stream_started(now, fields.query(2, "req"), fields.text(3, "executor"), reply);
   throw WireError("unknown event");
 }
 
