--- a/src/config/controller_config.cpp
+++ b/src/config/controller_config.cpp
@@ -20,19 +20,19 @@
 
 using rapidjson::Value;
 
-constexpr std::int64_t kMemoryMbUnlessTold = 192;
-constexpr std::int64_t kSocketsUnlessTold = 1024;
-constexpr std::int64_t kSocketsLeast = 32;
-constexpr TimeUs kConnectTimeoutUnlessTold = 250'000;
+constexpr std::int64_t kDefaultMemoryMb = 192;
+constexpr std::int64_t kDefaultSockets = 1024;
+constexpr std::int64_t kMinSockets = 32;
+constexpr TimeUs kDefaultConnectTimeout = 250'000;
 
-core::Address address_in(const Value& object, const char* key) {
-  const auto address = parse_address(text_in(object, key, ""));
+core::Address read_address(const Value& object, const char* key) {
+  const auto address = parse_address(string_or(object, key, ""));
   if (!address) wrong(key, "an address like 127.0.0.1:7001 is needed");
   return *address;
 }
 
-std::uint64_t seed_in(const Value& object) {
-  const std::string text = text_in(object, "seed", "0");
+std::uint64_t read_seed(const Value& object) {
+  const std::string text = string_or(object, "seed", "0");
   const auto seed = core::parse_whole<std::uint64_t>(text, 16);
   if (!seed) wrong("seed", "hex digits are needed");
   return *seed;
@@ -54,31 +54,31 @@
   document.Parse<rapidjson::kParseIterativeFlag>(text.data(), text.size());
   if (document.HasParseError() || !document.IsObject()) wrong("BALANCER_CONFIG", "a JSON object is needed");
   ControllerConfig config;
-  config.name = text_in(document, "name", "");
-  config.listen = address_in(document, "listen");
-  config.seed = seed_in(document);
-  const Value& limits = object_in(document, "limits");
-  config.memory_mb = integer_in(limits, "memory_mb", kMemoryMbUnlessTold);
+  config.name = string_or(document, "name", "");
+  config.listen = read_address(document, "listen");
+  config.seed = read_seed(document);
+  const Value& limits = object_or_empty(document, "limits");
+  config.memory_mb = integer_or(limits, "memory_mb", kDefaultMemoryMb);
   if (config.memory_mb <= 0) wrong("limits.memory_mb", "a number above 0 is needed");
-  config.sockets = integer_in(limits, "sockets", kSocketsUnlessTold);
-  if (config.sockets < kSocketsLeast) wrong("limits.sockets", "32 or more is needed");
-  config.change_log = address_in(document, "changelog");
-  const Value* known = find(document, "known");
+  config.sockets = integer_or(limits, "sockets", kDefaultSockets);
+  if (config.sockets < kMinSockets) wrong("limits.sockets", "32 or more is needed");
+  config.change_log = read_address(document, "changelog");
+  const Value* known = find_member(document, "known");
   if (known) config.known = read_fleet_changes(*known);
-  const Value* settings = find(document, "settings");
+  const Value* settings = find_member(document, "settings");
   if (!settings || !settings->IsObject()) wrong("settings", "an object is needed");
   config.settings = read_settings(*settings);
-  config.operator_file = text_in(document, "operatorFile", "");
-  config.fleet_file = text_in(document, "fleetFile", "");
-  const Value& policy = object_in(*settings, "policyLimits");
-  config.connect_timeout = integer_in(policy, "connectTimeout", kConnectTimeoutUnlessTold);
+  config.operator_file = string_or(document, "operatorFile", "");
+  config.fleet_file = string_or(document, "fleetFile", "");
+  const Value& policy = object_or_empty(*settings, "policyLimits");
+  config.connect_timeout = integer_or(policy, "connectTimeout", kDefaultConnectTimeout);
   return config;
 }
 
 namespace {
 
 // Guards against a start or a reload that ends because the system lacked a descriptor for a moment.
-[[noreturn]] void fail_reading(const std::string& path) {
+[[noreturn]] void throw_read_error(const std::string& path) {
   const SystemCallError error(SystemCall::kFile, errno, path);
   if (error.may_pass()) throw error;
   wrong("BALANCER_CONFIG", "the file can't be read");
@@ -86,13 +86,13 @@
 
 std::string read_file(const std::string& path) {
   const Descriptor file(::open(path.c_str(), O_RDONLY | O_CLOEXEC));
-  if (file.get() < 0) fail_reading(path);
+  if (file.get() < 0) throw_read_error(path);
   std::string text;
   std::array<char, 16384> bytes{};
   while (true) {
     const ssize_t n = ::read(file.get(), bytes.data(), bytes.size());
     if (n < 0 && errno == EINTR) continue;
-    if (n < 0) fail_reading(path);
+    if (n < 0) throw_read_error(path);
     if (n == 0) return text;
     text.append(bytes.data(), static_cast<std::size_t>(n));
   }
--- a/src/config/fleet_changes.cpp
+++ b/src/config/fleet_changes.cpp
@@ -16,29 +16,29 @@
 std::optional<core::EngineListing> read_member(const Value& member) {
   if (!member.IsObject()) return std::nullopt;
   core::EngineListing listing;
-  listing.entry.id = text_in(member, "id", "");
-  const auto state = engine_state_named(text_in(member, "phase", ""));
-  const auto address = parse_address(text_in(member, "host_port", ""));
+  listing.entry.id = string_or(member, "id", "");
+  const auto state = engine_state_named(string_or(member, "phase", ""));
+  const auto address = parse_address(string_or(member, "host_port", ""));
   if (listing.entry.id.empty() || !state) return std::nullopt;
   if (!address && *state == EngineState::kInService) return std::nullopt;
   listing.entry.state = *state;
   if (address) listing.address = *address;
-  listing.entry.zone = text_in(member, "locality", "");
-  listing.entry.kind = text_in(member, "flavor", "");
-  listing.entry.cell = static_cast<int>(integer_in(member, "cell", 0));
-  const std::int64_t up_since_ms = integer_in(member, "up_since_ms", 0);
+  listing.entry.zone = string_or(member, "locality", "");
+  listing.entry.kind = string_or(member, "flavor", "");
+  listing.entry.cell = static_cast<int>(integer_or(member, "cell", 0));
+  const std::int64_t up_since_ms = integer_or(member, "up_since_ms", 0);
   if (up_since_ms > 0) listing.up_since = WallTime{up_since_ms * kUsPerMs};
   return listing;
 }
 
 std::optional<FleetChange> read_change(const Value& event) {
   if (!event.IsObject()) return std::nullopt;
-  const Value* fleet = find(event, "fleet");
+  const Value* fleet = find_member(event, "fleet");
   if (!fleet || !fleet->IsObject()) return std::nullopt;
   FleetChange change;
-  change.number = static_cast<std::uint64_t>(integer_in(event, "seq", 0));
-  change.complete = flag_in(*fleet, "complete", false);
-  const Value* members = find(*fleet, "members");
+  change.number = static_cast<std::uint64_t>(integer_or(event, "seq", 0));
+  change.complete = bool_or(*fleet, "complete", false);
+  const Value* members = find_member(*fleet, "members");
   if (!members || !members->IsArray()) return std::nullopt;
   for (const auto& member : members->GetArray()) {
     try {
@@ -62,10 +62,10 @@
 FleetChanges read_fleet_changes(const Value& value) {
   if (!value.IsObject()) wrong("known", "an object is needed");
   FleetChanges out;
-  const std::int64_t last = integer_in(value, "seq", 0);
+  const std::int64_t last = integer_or(value, "seq", 0);
   if (last < 0) wrong("seq", "a number from 0 is needed");
   out.last = static_cast<std::uint64_t>(last);
-  const Value* results = find(value, "results");
+  const Value* results = find_member(value, "results");
   if (!results) return out;
   if (!results->IsArray()) wrong("results", "a list is needed");
   for (const auto& event : results->GetArray())
--- a/src/config/json_fields.cpp
+++ b/src/config/json_fields.cpp
@@ -7,91 +7,91 @@
 using rapidjson::SizeType;
 using rapidjson::Value;
 
-void wrong(const std::string& field, const char* wanted) {
-  throw FieldError("field '" + field + "': " + wanted);
+void wrong(const std::string& field, const char* requirement) {
+  throw FieldError("field '" + field + "': " + requirement);
 }
 
-const Value* find(const Value& object, const char* key) {
+const Value* find_member(const Value& object, const char* key) {
   const auto it = object.FindMember(key);
   return it == object.MemberEnd() || it->value.IsNull() ? nullptr : &it->value;
 }
 
-std::int64_t to_integer(const Value& v, const std::string& field) {
-  if (v.IsInt64()) return v.GetInt64();
-  if (v.IsNumber()) {
-    const double d = v.GetDouble();
-    if (std::isfinite(d) && std::abs(d) < 9e15) return std::llround(d);
+std::int64_t to_integer(const Value& value, const std::string& field) {
+  if (value.IsInt64()) return value.GetInt64();
+  if (value.IsNumber()) {
+    const double number = value.GetDouble();
+    if (std::isfinite(number) && std::abs(number) < 9e15) return std::llround(number);
   }
   wrong(field, "a whole number is needed");
 }
 
-double number_in(const Value& o, const char* key, double otherwise) {
-  const Value* v = find(o, key);
-  if (!v) return otherwise;
-  if (!v->IsNumber()) wrong(key, "a number is needed");
-  return v->GetDouble();
+double number_or(const Value& object, const char* key, double default_value) {
+  const Value* value = find_member(object, key);
+  if (!value) return default_value;
+  if (!value->IsNumber()) wrong(key, "a number is needed");
+  return value->GetDouble();
 }
 
-std::int64_t integer_in(const Value& o, const char* key, std::int64_t otherwise) {
-  const Value* v = find(o, key);
-  return v ? to_integer(*v, key) : otherwise;
+std::int64_t integer_or(const Value& object, const char* key, std::int64_t default_value) {
+  const Value* value = find_member(object, key);
+  return value ? to_integer(*value, key) : default_value;
 }
 
-bool flag_in(const Value& o, const char* key, bool otherwise) {
-  const Value* v = find(o, key);
-  if (!v) return otherwise;
-  if (!v->IsBool()) wrong(key, "true or false is needed");
-  return v->GetBool();
+bool bool_or(const Value& object, const char* key, bool default_value) {
+  const Value* value = find_member(object, key);
+  if (!value) return default_value;
+  if (!value->IsBool()) wrong(key, "true or false is needed");
+  return value->GetBool();
 }
 
-std::string text_in(const Value& o, const char* key, const std::string& otherwise) {
-  const Value* v = find(o, key);
-  if (!v) return otherwise;
-  if (!v->IsString()) wrong(key, "a text is needed");
-  return {v->GetString(), v->GetStringLength()};
+std::string string_or(const Value& object, const char* key, const std::string& default_value) {
+  const Value* value = find_member(object, key);
+  if (!value) return default_value;
+  if (!value->IsString()) wrong(key, "a text is needed");
+  return {value->GetString(), value->GetStringLength()};
 }
 
-std::vector<std::string> texts_in(const Value& o, const char* key) {
+std::vector<std::string> string_list(const Value& object, const char* key) {
   std::vector<std::string> out;
-  const Value* v = find(o, key);
-  if (!v) return out;
-  if (!v->IsArray()) wrong(key, "a list is needed");
-  for (const auto& x : v->GetArray()) {
-    if (!x.IsString()) wrong(key, "a list of texts is needed");
-    out.emplace_back(x.GetString(), x.GetStringLength());
+  const Value* value = find_member(object, key);
+  if (!value) return out;
+  if (!value->IsArray()) wrong(key, "a list is needed");
+  for (const auto& element : value->GetArray()) {
+    if (!element.IsString()) wrong(key, "a list of texts is needed");
+    out.emplace_back(element.GetString(), element.GetStringLength());
   }
   return out;
 }
 
-const Value& object_in(const Value& o, const char* key) {
+const Value& object_or_empty(const Value& object, const char* key) {
   static const Value kEmpty(rapidjson::kObjectType);
-  const Value* v = find(o, key);
-  if (!v) return kEmpty;
-  if (!v->IsObject()) wrong(key, "an object is needed");
-  return *v;
+  const Value* value = find_member(object, key);
+  if (!value) return kEmpty;
+  if (!value->IsObject()) wrong(key, "an object is needed");
+  return *value;
 }
 
 namespace {
 
-const Value* element(const Value& o, const char* key, SizeType i) {
-  const Value* v = find(o, key);
-  if (!v) return nullptr;
-  if (!v->IsArray()) wrong(key, "a list is needed");
-  return i < v->Size() && !(*v)[i].IsNull() ? &(*v)[i] : nullptr;
+const Value* find_element(const Value& object, const char* key, SizeType index) {
+  const Value* value = find_member(object, key);
+  if (!value) return nullptr;
+  if (!value->IsArray()) wrong(key, "a list is needed");
+  return index < value->Size() && !(*value)[index].IsNull() ? &(*value)[index] : nullptr;
 }
 
 }  // namespace
 
-double number_at(const Value& o, const char* key, SizeType i, double otherwise) {
-  const Value* v = element(o, key, i);
-  if (v && !v->IsNumber()) wrong(key, "a list of numbers is needed");
-  return v ? v->GetDouble() : otherwise;
+double number_at_or(const Value& object, const char* key, SizeType index, double default_value) {
+  const Value* value = find_element(object, key, index);
+  if (value && !value->IsNumber()) wrong(key, "a list of numbers is needed");
+  return value ? value->GetDouble() : default_value;
 }
 
-bool flag_at(const Value& o, const char* key, SizeType i) {
-  const Value* v = element(o, key, i);
-  if (v && !v->IsBool()) wrong(key, "a list of true and false is needed");
-  return v && v->GetBool();
+bool bool_at(const Value& object, const char* key, SizeType index) {
+  const Value* value = find_element(object, key, index);
+  if (value && !value->IsBool()) wrong(key, "a list of true and false is needed");
+  return value && value->GetBool();
 }
 
 }  // namespace orchidgw::config
--- a/src/config/json_fields.h
+++ b/src/config/json_fields.h
@@ -16,24 +16,25 @@
   using std::runtime_error::runtime_error;
 };
 
-[[noreturn]] void wrong(const std::string& field, const char* wanted);
+[[noreturn]] void wrong(const std::string& field, const char* requirement);
 
 // The member named `key`; null where it is absent or null.
-const rapidjson::Value* find(const rapidjson::Value& object, const char* key);
+const rapidjson::Value* find_member(const rapidjson::Value& object, const char* key);
 
 std::int64_t to_integer(const rapidjson::Value& value, const std::string& field);
 
-double number_in(const rapidjson::Value& object, const char* key, double otherwise);
-std::int64_t integer_in(const rapidjson::Value& object, const char* key, std::int64_t otherwise);
-bool flag_in(const rapidjson::Value& object, const char* key, bool otherwise);
-std::string text_in(const rapidjson::Value& object, const char* key, const std::string& otherwise);
-std::vector<std::string> texts_in(const rapidjson::Value& object, const char* key);
+double number_or(const rapidjson::Value& object, const char* key, double default_value);
+std::int64_t integer_or(const rapidjson::Value& object, const char* key, std::int64_t default_value);
+bool bool_or(const rapidjson::Value& object, const char* key, bool default_value);
+std::string string_or(const rapidjson::Value& object, const char* key, const std::string& default_value);
+std::vector<std::string> string_list(const rapidjson::Value& object, const char* key);
 
 // An empty object where the member is absent.
-const rapidjson::Value& object_in(const rapidjson::Value& object, const char* key);
+const rapidjson::Value& object_or_empty(const rapidjson::Value& object, const char* key);
 
 // Element `i` of a list of figures; `otherwise` (or false) where the list or the element is missing.
-double number_at(const rapidjson::Value& object, const char* key, rapidjson::SizeType i, double otherwise);
-bool flag_at(const rapidjson::Value& object, const char* key, rapidjson::SizeType i);
+double number_at_or(const rapidjson::Value& object, const char* key, rapidjson::SizeType index,
+                    double default_value);
+bool bool_at(const rapidjson::Value& object, const char* key, rapidjson::SizeType index);
 
 }  // namespace orchidgw::config
--- a/src/config/settings_reader.cpp
+++ b/src/config/settings_reader.cpp
@@ -8,110 +8,112 @@
 using rapidjson::SizeType;
 using rapidjson::Value;
 
-ClassSettings read_class(const Value& v, const Value& domain, SizeType i) {
-  if (!v.IsObject()) wrong("classes", "a list of objects is needed");
-  ClassSettings c;
-  c.name = text_in(v, "name", "");
-  if (c.name.empty()) wrong("classes.name", "missing");
-  c.aim = integer_in(v, "aim", 0);
-  c.aim_stretch = number_in(v, "aimStretch", 0);
-  c.deadline = integer_in(v, "deadline", 0);
-  const std::string effect = text_in(v, "effect", "");
+ClassSettings read_class(const Value& value, const Value& domain, SizeType i) {
+  if (!value.IsObject()) wrong("classes", "a list of objects is needed");
+  ClassSettings query_class;
+  query_class.name = string_or(value, "name", "");
+  if (query_class.name.empty()) wrong("classes.name", "missing");
+  query_class.aim = integer_or(value, "aim", 0);
+  query_class.aim_stretch = number_or(value, "aimStretch", 0);
+  query_class.deadline = integer_or(value, "deadline", 0);
+  const std::string effect = string_or(value, "effect", "");
   if (effect == "idempotent") {
-    c.effect = Effect::kIdempotent;
+    query_class.effect = Effect::kIdempotent;
   } else if (effect == "deduplicated") {
-    c.effect = Effect::kDeduplicated;
+    query_class.effect = Effect::kDeduplicated;
   } else if (effect == "at_most_once") {
-    c.effect = Effect::kAtMostOnce;
+    query_class.effect = Effect::kAtMostOnce;
   } else {
     wrong("classes.effect", "unknown word");
   }
-  const std::string scope = text_in(v, "keyScope", "all");
+  const std::string scope = string_or(value, "keyScope", "all");
   if (scope == "all") {
-    c.repeat_scope = RepeatScope::kAll;
+    query_class.repeat_scope = RepeatScope::kAll;
   } else if (scope == "zone") {
-    c.repeat_scope = RepeatScope::kZone;
+    query_class.repeat_scope = RepeatScope::kZone;
   } else if (scope == "cell") {
-    c.repeat_scope = RepeatScope::kCell;
+    query_class.repeat_scope = RepeatScope::kCell;
   } else {
     wrong("classes.keyScope", "unknown word");
   }
-  c.repeat_window = integer_in(v, "repeatWindow", 0);
-  c.value = number_in(v, "value", 1);
-  c.late_worth = number_in(v, "lateWorth", 0);
-  c.in_order = flag_in(v, "serialByKey", false);
-  c.streaming = flag_in(v, "streaming", false);
-  if (find(v, "zonesOpen")) c.zones = texts_in(v, "zonesOpen");
-  if (find(v, "shapesOnly")) c.kinds = texts_in(v, "shapesOnly");
-  c.threads = static_cast<int>(number_at(domain, "dop", i, 1));
-  c.load = flag_at(domain, "loads", i);
-  c.waits_for_loads = flag_at(domain, "waitsForLoads", i);
-  return c;
+  query_class.repeat_window = integer_or(value, "repeatWindow", 0);
+  query_class.value = number_or(value, "value", 1);
+  query_class.late_worth = number_or(value, "lateWorth", 0);
+  query_class.in_order = bool_or(value, "serialByKey", false);
+  query_class.streaming = bool_or(value, "streaming", false);
+  if (find_member(value, "zonesOpen")) query_class.zones = string_list(value, "zonesOpen");
+  if (find_member(value, "shapesOnly")) query_class.kinds = string_list(value, "shapesOnly");
+  query_class.threads = static_cast<int>(number_at_or(domain, "dop", i, 1));
+  query_class.load = bool_at(domain, "loads", i);
+  query_class.waits_for_loads = bool_at(domain, "waitsForLoads", i);
+  return query_class;
 }
 
 }  // namespace
 
 Settings read_settings(const Value& env) {
-  Settings s;
-  const Value& domain = object_in(env, "domain");
-  s.gateways = static_cast<int>(integer_in(env, "balancers", 1));
-  s.self = static_cast<int>(integer_in(env, "me", 0));
-  s.zone = text_in(env, "myZone", "");
-  const Value* classes = find(env, "classes");
+  Settings settings;
+  const Value& domain = object_or_empty(env, "domain");
+  settings.gateways = static_cast<int>(integer_or(env, "balancers", 1));
+  settings.self = static_cast<int>(integer_or(env, "me", 0));
+  settings.zone = string_or(env, "myZone", "");
+  const Value* classes = find_member(env, "classes");
   if (!classes || !classes->IsArray()) wrong("classes", "a list is needed");
-  for (SizeType i = 0; i < classes->Size(); ++i) s.classes.push_back(read_class((*classes)[i], domain, i));
-  const auto kinds = texts_in(env, "shapes");
+  for (SizeType i = 0; i < classes->Size(); ++i)
+    settings.classes.push_back(read_class((*classes)[i], domain, i));
+  const auto kinds = string_list(env, "shapes");
   for (SizeType i = 0; i < kinds.size(); ++i)
-    s.kinds.push_back({kinds[i], static_cast<int>(number_at(domain, "sizeCores", i, 1)),
-                       number_at(domain, "kindMemoryMb", i, 0)});
-  if (const Value* tenants = find(env, "tenants")) {
+    settings.kinds.push_back({kinds[i], static_cast<int>(number_at_or(domain, "sizeCores", i, 1)),
+                              number_at_or(domain, "kindMemoryMb", i, 0)});
+  if (const Value* tenants = find_member(env, "tenants")) {
     if (!tenants->IsArray()) wrong("tenants", "a list is needed");
-    for (const auto& t : tenants->GetArray()) {
-      if (!t.IsObject()) wrong("tenants", "a list of objects is needed");
-      s.tenants.push_back({text_in(t, "name", ""), number_in(t, "portion", 0), number_in(t, "quotaPerS", 0)});
+    for (const auto& tenant : tenants->GetArray()) {
+      if (!tenant.IsObject()) wrong("tenants", "a list of objects is needed");
+      settings.tenants.push_back({string_or(tenant, "name", ""), number_or(tenant, "portion", 0),
+                                  number_or(tenant, "quotaPerS", 0)});
     }
   }
-  const Value& limits = object_in(env, "policyLimits");
-  s.limits.cancel = flag_in(limits, "cancel", false);
-  s.limits.probes = flag_in(limits, "probes", false);
-  s.limits.peers = flag_in(limits, "peers", false);
-  s.limits.second_copies = flag_in(limits, "secondCopies", false);
-  s.limits.retry_after = flag_in(limits, "retryAfter", false);
-  s.limits.max_retry_after = integer_in(limits, "maxRetryAfter", 0);
-  s.limits.max_attempts = static_cast<int>(integer_in(limits, "maxAttempts", 1));
-  const Value& rules = object_in(env, "rules");
-  s.rules.answer_slack = integer_in(rules, "answerSlack", 0);
-  s.rules.drain_grace = integer_in(rules, "stopSendingWithin", 0);
-  s.rules.ask_within = integer_in(rules, "askWithin", 0);
-  s.rules.cold_from = number_in(rules, "coldFrom", 1);
-  s.rules.cold_for = integer_in(rules, "cold", 0);
-  s.rules.fall_multiple = number_in(rules, "fallMultiple", 0);
-  s.rules.fall_window = integer_in(rules, "tipAfter", 0);
-  s.rules.key_rest = integer_in(rules, "keyQuiet", 0);
-  s.rules.attempts_rationed = find(rules, "extraRatio") != nullptr;
-  s.rules.extra_share = number_in(rules, "extraRatio", 0);
-  s.rules.extra_free = number_in(rules, "budgetFree", 0);
-  s.rules.extra_window = integer_in(rules, "lookBack", 0);
-  s.must_ask_discovery = text_in(env, "registryMode", "pushed") == "on_request";
-  s.grants = flag_in(domain, "grantsCount", false);
-  s.priorities = flag_in(domain, "lanesCount", false);
-  s.tells_cost = flag_in(domain, "bills", false);
-  s.max_grant_share = number_in(domain, "mostGrant", 1);
+  const Value& limits = object_or_empty(env, "policyLimits");
+  settings.limits.cancel = bool_or(limits, "cancel", false);
+  settings.limits.probes = bool_or(limits, "probes", false);
+  settings.limits.peers = bool_or(limits, "peers", false);
+  settings.limits.second_copies = bool_or(limits, "secondCopies", false);
+  settings.limits.retry_after = bool_or(limits, "retryAfter", false);
+  settings.limits.max_retry_after = integer_or(limits, "maxRetryAfter", 0);
+  settings.limits.max_attempts = static_cast<int>(integer_or(limits, "maxAttempts", 1));
+  const Value& rules = object_or_empty(env, "rules");
+  settings.rules.answer_slack = integer_or(rules, "answerSlack", 0);
+  settings.rules.drain_grace = integer_or(rules, "stopSendingWithin", 0);
+  settings.rules.ask_within = integer_or(rules, "askWithin", 0);
+  settings.rules.cold_from = number_or(rules, "coldFrom", 1);
+  settings.rules.cold_for = integer_or(rules, "cold", 0);
+  settings.rules.fall_multiple = number_or(rules, "fallMultiple", 0);
+  settings.rules.fall_window = integer_or(rules, "tipAfter", 0);
+  settings.rules.key_rest = integer_or(rules, "keyQuiet", 0);
+  settings.rules.attempts_rationed = find_member(rules, "extraRatio") != nullptr;
+  settings.rules.extra_share = number_or(rules, "extraRatio", 0);
+  settings.rules.extra_free = number_or(rules, "budgetFree", 0);
+  settings.rules.extra_window = integer_or(rules, "lookBack", 0);
+  settings.must_ask_discovery = string_or(env, "registryMode", "pushed") == "on_request";
+  settings.grants = bool_or(domain, "grantsCount", false);
+  settings.priorities = bool_or(domain, "lanesCount", false);
+  settings.tells_cost = bool_or(domain, "bills", false);
+  settings.max_grant_share = number_or(domain, "mostGrant", 1);
   // The module counts memory where engines page ("overcommit"): a word misspelt must not pass for "line_up".
-  const std::string when_short = text_in(domain, "whenShort", "line_up");
+  const std::string when_short = string_or(domain, "whenShort", "line_up");
   if (when_short != "line_up" && when_short != "cut" && when_short != "overcommit")
     wrong("domain.whenShort", "line_up, cut or overcommit is needed");
-  s.when_short = when_short == "cut"          ? WhenShort::kShrink
-                 : when_short == "overcommit" ? WhenShort::kPage
-                                              : WhenShort::kWait;
+  settings.when_short = when_short == "cut"          ? WhenShort::kShrink
+                        : when_short == "overcommit" ? WhenShort::kPage
+                                                     : WhenShort::kWait;
   // Notes' pace judges runaway attempts; a negative one would have every note look late.
-  s.progress_interval = integer_in(domain, "progressPace", 0);
-  if (s.progress_interval < 0) wrong("domain.progressPace", "0 or more microseconds is needed");
-  for (const auto& k : s.kinds)
-    if (k.cores < 1 || k.memory_mb < 0)
+  settings.progress_interval = integer_or(domain, "progressPace", 0);
+  if (settings.progress_interval < 0) wrong("domain.progressPace", "0 or more microseconds is needed");
+  for (const auto& kind : settings.kinds)
+    if (kind.cores < 1 || kind.memory_mb < 0)
       wrong("domain.sizeCores", "1 core or more and memory of 0 MB or more");
-  s.over_share_worth = number_in(env, "overShareWorth", 1);
-  return s;
+  settings.over_share_worth = number_or(env, "overShareWorth", 1);
+  return settings;
 }
 
 }  // namespace orchidgw::config
--- a/src/configuration/configuration.cpp
+++ b/src/configuration/configuration.cpp
@@ -13,11 +13,11 @@
 
 // Of the memory, one part in 32 is for the operators' file: while it is read, and for its routes with their
 // state, the old and the new beside each other. A route takes up to 6 KB so.
-constexpr std::size_t kRoutesPerMb = 6;
-constexpr std::size_t kNodesPerMb = 200;
-constexpr std::size_t kBytesPerMb = std::size_t{2} * 1024;
+constexpr std::size_t kMaxRoutesPerMb = 6;
+constexpr std::size_t kMaxNodesPerMb = 200;
+constexpr std::size_t kMaxBytesPerMb = std::size_t{2} * 1024;
 
-int last_version = 0;  // of the limits that were read, in this process
+int last_limits_version = 0;  // of the limits that were read, in this process
 
 log::Choice log_choice(const Sources& sources, const operator_file::LogChoice& file) {
   log::Choice choice;
@@ -31,10 +31,10 @@
   return choice;
 }
 
-[[noreturn]] void refuse(const std::string& path, const std::vector<limits::Fault>& faults) {
+[[noreturn]] void throw_faults(const std::string& path, const std::vector<limits::Fault>& faults) {
   std::vector<std::string> lines;
   for (const limits::Fault& fault : faults) {
-    if (lines.size() >= operator_file::kFaultsMost) break;
+    if (lines.size() >= operator_file::kMaxFaults) break;
     lines.push_back(operator_file::fault_line(path, fault));
   }
   throw ConfigurationError(std::move(lines));
@@ -42,29 +42,31 @@
 
 fleet::FleetConfig load_fleet(const std::string& path, const Sources& sources,
                               const config::ControllerConfig& controller) {
-  const operator_file::Size most = size_for(controller.memory_mb);
-  operator_file::ReadFleet read =
-      operator_file::read_fleet_file(operator_file::load_text(path, most.bytes), most);
+  const operator_file::FileSizeLimits max_size = file_size_limits(controller.memory_mb);
+  operator_file::FleetFileResult read =
+      operator_file::read_fleet_file(operator_file::load_file(path, max_size.bytes), max_size);
   if (!sources.fleet_store.empty()) read.fleet.store = sources.fleet_store;
-  const bool keeps = read.fleet.keeper_named(controller.name) != nullptr;
-  if (read.faults.empty() && keeps && read.fleet.store.empty())
+  const bool is_keeper = read.fleet.keeper_named(controller.name) != nullptr;
+  if (read.faults.empty() && is_keeper && read.fleet.store.empty())
     read.faults.push_back(
         {{}, "store", "'" + controller.name + "' keeps, which needs a folder: here, or --fleet-store"});
   if (read.faults.empty() && controller.name.empty())
     read.faults.push_back({{}, "", "a controller of a fleet needs a name (BALANCER_NAME)"});
-  if (!read.faults.empty()) refuse(path, read.faults);
+  if (!read.faults.empty()) throw_faults(path, read.faults);
   return read.fleet;
 }
 
 }  // namespace
 
-operator_file::Size size_for(std::int64_t memory_mb) {
+operator_file::FileSizeLimits file_size_limits(std::int64_t memory_mb) {
   const auto mb = static_cast<std::size_t>(memory_mb);
-  const operator_file::Size whole;
-  return {std::min(whole.bytes, mb * kBytesPerMb), std::min(whole.nodes, mb * kNodesPerMb)};
+  const operator_file::FileSizeLimits defaults;
+  return {std::min(defaults.bytes, mb * kMaxBytesPerMb), std::min(defaults.nodes, mb * kMaxNodesPerMb)};
 }
 
-std::size_t routes_most(std::int64_t memory_mb) { return static_cast<std::size_t>(memory_mb) * kRoutesPerMb; }
+std::size_t max_route_count(std::int64_t memory_mb) {
+  return static_cast<std::size_t>(memory_mb) * kMaxRoutesPerMb;
+}
 
 Configuration load(const Sources& sources, const Settings* running) {
   Configuration out;
@@ -76,18 +78,18 @@
     out.log = log_choice(sources, {});
     return out;
   }
-  const operator_file::Size most = size_for(out.controller.memory_mb);
-  operator_file::ReadFile read =
-      operator_file::read_operator_file(operator_file::load_text(path, most.bytes), most);
-  if (!read.faults.empty()) refuse(path, read.faults);
+  const operator_file::FileSizeLimits max_size = file_size_limits(out.controller.memory_mb);
+  operator_file::OperatorFileResult read =
+      operator_file::read_operator_file(operator_file::load_file(path, max_size.bytes), max_size);
+  if (!read.faults.empty()) throw_faults(path, read.faults);
   const Settings& settings = running != nullptr ? *running : out.controller.settings;
-  auto faults = limits::check(settings, read.file.limits, routes_most(out.controller.memory_mb));
+  auto faults = limits::check(settings, read.file.limits, max_route_count(out.controller.memory_mb));
   if (!out.fleet) limits::check_no_fleet(read.file.limits, faults);
-  if (!faults.empty()) refuse(path, faults);
+  if (!faults.empty()) throw_faults(path, faults);
   const auto level_faults = service_level::check(settings, read.file.levels);
-  if (!level_faults.empty()) refuse(path, level_faults);
+  if (!level_faults.empty()) throw_faults(path, level_faults);
   out.levels = std::make_shared<const service_level::LevelFile>(std::move(read.file.levels));
-  out.limits = std::make_shared<const limits::LimitSet>(settings, read.file.limits, ++last_version);
+  out.limits = std::make_shared<const limits::LimitSet>(settings, read.file.limits, ++last_limits_version);
   out.log = log_choice(sources, read.file.log);
   return out;
 }
--- a/src/configuration/configuration.h
+++ b/src/configuration/configuration.h
@@ -53,7 +53,7 @@
 Configuration load(const Sources& sources, const Settings* running);
 
 // What a memory limit allows of the operators' file (docs/architecture.md adds the bounds up).
-operator_file::Size size_for(std::int64_t memory_mb);
-std::size_t routes_most(std::int64_t memory_mb);
+operator_file::FileSizeLimits file_size_limits(std::int64_t memory_mb);
+std::size_t max_route_count(std::int64_t memory_mb);
 
 }  // namespace orchidgw::configuration
--- a/src/http/engine_calls.cpp
+++ b/src/http/engine_calls.cpp
@@ -12,11 +12,11 @@
 using core::CallKind;
 
 constexpr TimeUs kUsPerMs = 1000;
-constexpr int kPagesMost = 1000;
-constexpr double kFigureMost = 1e12;
+constexpr int kMaxPages = 1000;
+constexpr double kMaxReportedValue = 1e12;
 constexpr const char* kPath = "/v2/q";
 
-void header(std::string& out, const char* name, const std::string& value) {
+void add_header(std::string& out, const char* name, const std::string& value) {
   out += name;
   out += ": ";
   out += value;
@@ -28,12 +28,12 @@
   out += ' ';
   out += path;
   out += " HTTP/1.1\r\n";
-  header(out, "Host", to.host + ":" + std::to_string(to.port));
+  add_header(out, "Host", to.host + ":" + std::to_string(to.port));
   return out;
 }
 
 std::string with_body(std::string head, const std::string& body) {
-  header(head, "Content-Length", std::to_string(body.size()));
+  add_header(head, "Content-Length", std::to_string(body.size()));
   head += "\r\n";
   head += body;
   return head;
@@ -41,39 +41,39 @@
 
 std::string write_start(const core::StartCall& call, TimeUs now) {
   std::string out = request_line("POST", kPath, call.address);
-  header(out, "Call-Id", call.reference);
-  header(out, "Call-Kind", call.class_name);
-  header(out, "Call-Ms", std::to_string(std::max<TimeUs>((call.stop_at - now) / kUsPerMs, 1)));
-  if (!call.idempotency_key.empty()) header(out, "Call-Once", call.idempotency_key);
+  add_header(out, "Call-Id", call.reference);
+  add_header(out, "Call-Kind", call.class_name);
+  add_header(out, "Call-Ms", std::to_string(std::max<TimeUs>((call.stop_at - now) / kUsPerMs, 1)));
+  if (!call.idempotency_key.empty()) add_header(out, "Call-Once", call.idempotency_key);
   const auto grant = static_cast<std::int64_t>(std::floor(call.grant_mb));
-  if (grant > 0) header(out, "X-Memory-Mb", std::to_string(grant));
-  if (call.priority != 1) header(out, "X-Priority", std::to_string(call.priority));
+  if (grant > 0) add_header(out, "X-Memory-Mb", std::to_string(grant));
+  if (call.priority != 1) add_header(out, "X-Priority", std::to_string(call.priority));
   return with_body(out, call.statement);
 }
 
-std::optional<double> figure(const ResponseHead& head, std::string_view name) {
+std::optional<double> reported_value(const ResponseHead& head, std::string_view name) {
   const std::string* text = head.find(name);
   if (text == nullptr) return std::nullopt;
   const auto value = core::parse_finite(*text);
-  if (!value || *value < 0 || *value > kFigureMost) return std::nullopt;
+  if (!value || *value < 0 || *value > kMaxReportedValue) return std::nullopt;
   return value;
 }
 
-std::optional<int> whole_number(const ResponseHead& head, std::string_view name) {
+std::optional<int> page_value(const ResponseHead& head, std::string_view name) {
   const std::string* text = head.find(name);
   if (text == nullptr) return std::nullopt;
   const auto value = core::parse_whole<int>(*text);
-  if (!value || *value < 0 || *value > kPagesMost) return std::nullopt;
+  if (!value || *value < 0 || *value > kMaxPages) return std::nullopt;
   return value;
 }
 
-bool never_begun(const ResponseHead& head) {
+bool is_marked_not_begun(const ResponseHead& head) {
   const std::string* mark = head.find("not-begun");
   return mark != nullptr && *mark == "1";
 }
 
 std::optional<CallAnswer> read_page(const ResponseHead& head, core::PayloadPtr rows) {
-  const auto number = whole_number(head, "x-page");
+  const auto number = page_value(head, "x-page");
   if (!number) return std::nullopt;
   CallAnswer answer;
   answer.kind = CallAnswer::Kind::kPage;
@@ -82,20 +82,20 @@
   return answer;
 }
 
-std::optional<CallAnswer> read_good_end(const ResponseHead& head, core::PayloadPtr rows) {
-  const auto pages = whole_number(head, "x-pages");
+std::optional<CallAnswer> read_served(const ResponseHead& head, core::PayloadPtr rows) {
+  const auto pages = page_value(head, "x-pages");
   if (!pages) return std::nullopt;
   CallAnswer answer;
   answer.kind = CallAnswer::Kind::kServed;
   answer.pages = *pages;
   answer.rows = std::move(rows);
-  if (const auto cost = figure(head, "x-cost-ms"))
+  if (const auto cost = reported_value(head, "x-cost-ms"))
     answer.told_cost = static_cast<TimeUs>(std::llround(*cost * static_cast<double>(kUsPerMs)));
-  answer.told_memory_mb = figure(head, "x-needed-mb");
+  answer.told_memory_mb = reported_value(head, "x-needed-mb");
   return answer;
 }
 
-CallAnswer plain(CallAnswer::Kind kind) {
+CallAnswer answer_of_kind(CallAnswer::Kind kind) {
   CallAnswer answer;
   answer.kind = kind;
   return answer;
@@ -122,14 +122,15 @@
 
 std::optional<CallAnswer> read_answer(CallKind kind, const ResponseHead& head, core::PayloadPtr rows,
                                       bool whole_rows) {
-  if (kind == CallKind::kPriority || kind == CallKind::kGiveUp) return plain(CallAnswer::Kind::kDone);
+  if (kind == CallKind::kPriority || kind == CallKind::kGiveUp)
+    return answer_of_kind(CallAnswer::Kind::kDone);
   if (head.status == 200 && !whole_rows) return std::nullopt;
   if (head.status == 200 && kind == CallKind::kPage) return read_page(head, std::move(rows));
-  if (head.status == 200) return read_good_end(head, std::move(rows));
-  if (head.status == 202 && kind != CallKind::kPage) return plain(CallAnswer::Kind::kNotYet);
-  if (head.status == 503 && never_begun(head)) return plain(CallAnswer::Kind::kFull);
-  if (head.status == 504 && never_begun(head)) return plain(CallAnswer::Kind::kOver);
-  if (head.status >= 400) return plain(CallAnswer::Kind::kError);
+  if (head.status == 200) return read_served(head, std::move(rows));
+  if (head.status == 202 && kind != CallKind::kPage) return answer_of_kind(CallAnswer::Kind::kNotYet);
+  if (head.status == 503 && is_marked_not_begun(head)) return answer_of_kind(CallAnswer::Kind::kFull);
+  if (head.status == 504 && is_marked_not_begun(head)) return answer_of_kind(CallAnswer::Kind::kOver);
+  if (head.status >= 400) return answer_of_kind(CallAnswer::Kind::kError);
   return std::nullopt;
 }
 
--- a/src/http/response_parser.cpp
+++ b/src/http/response_parser.cpp
@@ -8,8 +8,8 @@
 namespace orchidgw::http {
 namespace {
 
-constexpr std::size_t kHeadBytesMost = 8192;  // of the status line and all headers
-constexpr std::size_t kHeadersMost = 64;
+constexpr std::size_t kMaxHeadBytes = 8192;  // of the status line and all headers
+constexpr std::size_t kMaxHeaders = 64;
 
 std::string lower(std::string_view text) {
   std::string out(text);
@@ -44,12 +44,12 @@
   line_.clear();
   piece_ = {};
   head_bytes_ = 0;
-  length_.reset();
-  left_ = 0;
+  content_length_.reset();
+  body_bytes_left_ = 0;
   begun_ = false;
 }
 
-ResponseParser::Result ResponseParser::broken() {
+ResponseParser::Result ResponseParser::fail() {
   state_ = State::kBroken;
   return Result::kBroken;
 }
@@ -61,21 +61,21 @@
     std::string line;
     if (!take_line(bytes, line)) return state_ == State::kBroken ? Result::kBroken : Result::kMore;
     if (state_ == State::kStatus) {
-      if (!read_status(line)) return broken();
+      if (!read_status(line)) return fail();
       state_ = State::kHeaders;
     } else if (!line.empty()) {
-      if (!read_header(line)) return broken();
+      if (!read_header(line)) return fail();
     } else if (!end_headers()) {
-      return broken();
+      return fail();
     }
   }
   if (state_ == State::kBroken) return Result::kBroken;
   if (state_ == State::kBody && !bytes.empty()) {
-    const std::size_t n = std::min(left_, bytes.size());
+    const std::size_t n = std::min(body_bytes_left_, bytes.size());
     piece_ = bytes.substr(0, n);
     bytes.remove_prefix(n);
-    left_ -= n;
-    if (left_ == 0) state_ = State::kDone;
+    body_bytes_left_ -= n;
+    if (body_bytes_left_ == 0) state_ = State::kDone;
     return Result::kBody;
   }
   return state_ == State::kDone ? Result::kDone : Result::kMore;
@@ -86,7 +86,7 @@
   const auto end = bytes.find('\n');
   const std::size_t n = end == std::string_view::npos ? bytes.size() : end + 1;
   head_bytes_ += n;
-  if (head_bytes_ > kHeadBytesMost) {
+  if (head_bytes_ > kMaxHeadBytes) {
     state_ = State::kBroken;
     return false;
   }
@@ -119,16 +119,16 @@
 bool ResponseParser::read_header(const std::string& line) {
   const auto colon = line.find(':');
   if (colon == std::string::npos || !is_token(std::string_view(line).substr(0, colon))) return false;
-  if (head_.headers.size() >= kHeadersMost) return false;
+  if (head_.headers.size() >= kMaxHeaders) return false;
   const std::string name = lower(std::string_view(line).substr(0, colon));
   const std::string value(trimmed(std::string_view(line).substr(colon + 1)));
   if (name == "transfer-encoding") return false;  // guards against bodies of unknown length
   if (name == "connection" && lower(value) == "close") head_.keep_alive = false;
   if (name == "content-length") {
     const auto length = core::parse_whole<std::size_t>(value);
-    if (!length || *length > body_most_) return false;
-    if (length_ && *length_ != *length) return false;
-    length_ = length;
+    if (!length || *length > max_body_bytes_) return false;
+    if (content_length_ && *content_length_ != *length) return false;
+    content_length_ = length;
   }
   head_.headers.emplace_back(name, value);
   return true;
@@ -144,9 +144,9 @@
     return true;
   }
   const bool bodiless = head_.status == 204 || head_.status == 304;
-  if (!bodiless && !length_) return false;
-  left_ = bodiless ? 0 : *length_;
-  state_ = left_ > 0 ? State::kBody : State::kDone;
+  if (!bodiless && !content_length_) return false;
+  body_bytes_left_ = bodiless ? 0 : *content_length_;
+  state_ = body_bytes_left_ > 0 ? State::kBody : State::kDone;
   return true;
 }
 
--- a/src/http/response_parser.h
+++ b/src/http/response_parser.h
@@ -26,7 +26,7 @@
     kBroken,  // the protocol or a bound is broken
   };
 
-  explicit ResponseParser(std::size_t body_most) : body_most_(body_most) {}
+  explicit ResponseParser(std::size_t max_body_bytes) : max_body_bytes_(max_body_bytes) {}
 
   // Takes bytes off the front of `bytes`. Call again until kMore, kDone or kBroken.
   Result feed(std::string_view& bytes);
@@ -38,20 +38,20 @@
 
  private:
   enum class State { kStatus, kHeaders, kBody, kDone, kBroken };
-  Result broken();
+  Result fail();
   bool take_line(std::string_view& bytes, std::string& line);
   bool read_status(const std::string& line);
   bool read_header(const std::string& line);
   bool end_headers();
 
-  std::size_t body_most_;
+  std::size_t max_body_bytes_;
   State state_ = State::kStatus;
   ResponseHead head_;
   std::string line_;
   std::string_view piece_;
   std::size_t head_bytes_ = 0;
-  std::optional<std::size_t> length_;
-  std::size_t left_ = 0;
+  std::optional<std::size_t> content_length_;
+  std::size_t body_bytes_left_ = 0;
   bool begun_ = false;
 };
 
--- a/src/http/row_check.cpp
+++ b/src/http/row_check.cpp
@@ -3,8 +3,8 @@
 namespace orchidgw::http {
 namespace {
 
-constexpr int kTabsOfARow = 2;
-constexpr unsigned char kFirstPlain = 0x20;
+constexpr int kTabsPerRow = 2;
+constexpr unsigned char kFirstPrintable = 0x20;
 constexpr unsigned char kDelete = 0x7f;
 
 }  // namespace
@@ -12,14 +12,14 @@
 void RowCheck::feed(std::string_view bytes) {
   for (const char c : bytes) {
     const auto byte = static_cast<unsigned char>(c);
-    inside_ = c != '\n';
+    in_row_ = c != '\n';
     if (c == '\t') {
       ++tabs_;
     } else if (c == '\n') {
-      good_ = good_ && tabs_ == kTabsOfARow;
+      valid_so_far_ = valid_so_far_ && tabs_ == kTabsPerRow;
       tabs_ = 0;
-    } else if (byte < kFirstPlain || byte == kDelete) {
-      good_ = false;
+    } else if (byte < kFirstPrintable || byte == kDelete) {
+      valid_so_far_ = false;
     }
   }
 }
--- a/src/http/row_check.h
+++ b/src/http/row_check.h
@@ -10,11 +10,11 @@
 class RowCheck {
  public:
   void feed(std::string_view bytes);
-  bool whole() const { return good_ && !inside_; }  // all rows so far; true for none
+  bool whole() const { return valid_so_far_ && !in_row_; }  // all rows so far; true for none
 
  private:
-  bool good_ = true;
-  bool inside_ = false;
+  bool valid_so_far_ = true;
+  bool in_row_ = false;
   int tabs_ = 0;  // of the row that is not over
 };
 
--- a/src/operator_file/fields.cpp
+++ b/src/operator_file/fields.cpp
@@ -8,11 +8,11 @@
 namespace orchidgw::operator_file {
 namespace {
 
-constexpr TimeUs kTimeMost = 3'600'000'000;
-constexpr std::size_t kWordMost = 200;
+constexpr TimeUs kMaxTime = 3'600'000'000;
+constexpr std::size_t kMaxWordBytes = 200;
 
 // A decimal number without sign, exponent or white space.
-std::optional<double> plain_number(std::string_view text) {
+std::optional<double> parse_plain_number(std::string_view text) {
   if (text.empty() || text.find_first_not_of("0123456789.") != std::string_view::npos) return std::nullopt;
   double value = 0;
   const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), value);
@@ -20,7 +20,7 @@
   return value;
 }
 
-std::string number_text(double number) {
+std::string format_number(double number) {
   std::string text = std::to_string(number);
   text.erase(text.find_last_not_of('0') + 1);
   if (text.back() == '.') text.pop_back();
@@ -36,8 +36,8 @@
   const auto digits = std::min(text.find_first_not_of("0123456789."), text.size());
   for (const auto& [unit, us] : kUnits) {
     if (text.substr(digits) != unit) continue;
-    const auto number = plain_number(text.substr(0, digits));
-    if (!number || *number * us > static_cast<double>(kTimeMost)) return std::nullopt;
+    const auto number = parse_plain_number(text.substr(0, digits));
+    if (!number || *number * us > static_cast<double>(kMaxTime)) return std::nullopt;
     return static_cast<TimeUs>(std::llround(*number * us));
   }
   return std::nullopt;
@@ -45,13 +45,13 @@
 
 std::optional<double> to_number(const YamlNode& node) {
   if (node.kind != YamlNode::Kind::kScalar || node.quoted) return std::nullopt;
-  return plain_number(node.text);
+  return parse_plain_number(node.text);
 }
 
 std::optional<double> to_share(const YamlNode& node) {
   if (node.kind != YamlNode::Kind::kScalar) return std::nullopt;
   if (!node.text.ends_with('%')) return to_number(node);
-  const auto number = plain_number(std::string_view(node.text).substr(0, node.text.size() - 1));
+  const auto number = parse_plain_number(std::string_view(node.text).substr(0, node.text.size() - 1));
   return number ? std::optional(*number / 100) : std::nullopt;
 }
 
@@ -70,7 +70,7 @@
 }
 
 const YamlNode* Fields::find(const char* key) {
-  known_.push_back(key);
+  requested_keys_.push_back(key);
   if (!is_map()) return nullptr;
   for (const Member& member : node_.members) {
     if (member.key.text != key) continue;
@@ -81,7 +81,7 @@
   return nullptr;
 }
 
-const YamlNode* Fields::need(const char* key) {
+const YamlNode* Fields::require(const char* key) {
   const std::size_t before = faults_.size();
   const YamlNode* node = find(key);
   if (node == nullptr && is_map() && faults_.size() == before) fault(node_, key, "missing");
@@ -93,34 +93,35 @@
   faults_.push_back({at.place, path, std::move(why)});
 }
 
-void Fields::time(const char* key, limits::Maybe<TimeUs>& to, TimeUs least) {
+void Fields::time(const char* key, limits::Maybe<TimeUs>& to, TimeUs min_value) {
   const YamlNode* node = find(key);
   if (node == nullptr) return;
   const auto value = to_time(*node);
   if (!value)
     return fault(*node, key, "a time with its unit is wanted, like 250ms, 2s or 5m, an hour at most");
-  if (*value < least) return fault(*node, key, "a time above 0 is wanted");
+  if (*value < min_value) return fault(*node, key, "a time above 0 is wanted");
   to = {*value, node->place};
 }
 
-void Fields::count(const char* key, limits::Maybe<int>& to, int least, int most) {
+void Fields::count(const char* key, limits::Maybe<int>& to, int min_value, int max_value) {
   const YamlNode* node = find(key);
   if (node == nullptr) return;
   const auto value = to_count(*node);
-  if (!value || *value < least || *value > most)
-    return fault(
-        *node, key,
-        "a whole number from " + std::to_string(least) + " to " + std::to_string(most) + " is wanted");
+  if (!value || *value < min_value || *value > max_value)
+    return fault(*node, key,
+                 "a whole number from " + std::to_string(min_value) + " to " + std::to_string(max_value) +
+                     " is wanted");
   to = {*value, node->place};
 }
 
-void Fields::number(const char* key, limits::Maybe<double>& to, double least, double most) {
+void Fields::number(const char* key, limits::Maybe<double>& to, double min_value, double max_value) {
   const YamlNode* node = find(key);
   if (node == nullptr) return;
   const auto value = to_number(*node);
-  if (!value || *value < least || *value > most)
-    return fault(*node, key,
-                 "a number from " + number_text(least) + " to " + number_text(most) + " is wanted");
+  if (!value || *value < min_value || *value > max_value)
+    return fault(
+        *node, key,
+        "a number from " + format_number(min_value) + " to " + format_number(max_value) + " is wanted");
   to = {*value, node->place};
 }
 
@@ -135,30 +136,31 @@
 void Fields::word(const char* key, limits::Maybe<std::string>& to) {
   const YamlNode* node = find(key);
   if (node == nullptr) return;
-  if (node->kind != YamlNode::Kind::kScalar || node->text.empty() || node->text.size() > kWordMost)
+  if (node->kind != YamlNode::Kind::kScalar || node->text.empty() || node->text.size() > kMaxWordBytes)
     return fault(*node, key, "a word of 1 to 200 bytes is wanted");
   to = {node->text, node->place};
 }
 
-bool Fields::either(const char* key, const char* usual, const char* other) {
+bool Fields::is_alternative(const char* key, const char* default_word, const char* other_word) {
   limits::Maybe<std::string> stated;
   word(key, stated);
-  if (stated && stated->value != usual && stated->value != other)
-    fault(*find(key), key, std::string("one of these is wanted: ") + usual + ", " + other);
-  return stated && stated->value == other;
+  if (stated && stated->value != default_word && stated->value != other_word)
+    fault(*find(key), key, std::string("one of these is wanted: ") + default_word + ", " + other_word);
+  return stated && stated->value == other_word;
 }
 
-void Fields::finish() {
+void Fields::report_unknown_fields() {
   if (!is_map()) return;
   for (const Member& member : node_.members) {
     const std::string& key = member.key.text;
-    const bool known = std::any_of(known_.begin(), known_.end(), [&](const char* k) { return key == k; });
+    const bool known =
+        std::any_of(requested_keys_.begin(), requested_keys_.end(), [&](const char* k) { return key == k; });
     if (!known) fault(member.key, key, "unknown field");
   }
 }
 
-void need_version(Fields& top) {
-  const YamlNode* node = top.need("version");
+void require_supported_version(Fields& top) {
+  const YamlNode* node = top.require("version");
   if (node == nullptr) return;
   const auto version = to_count(*node);
   if (!version || *version != kFormatVersion)
--- a/src/operator_file/fields.h
+++ b/src/operator_file/fields.h
@@ -18,29 +18,30 @@
   const std::string& path() const { return path_; }
   Place place() const { return node_.place; }
 
-  const YamlNode* find(const char* key);  // null where it is absent; counts as known from then on
-  const YamlNode* need(const char* key);  // complains where it is absent
+  const YamlNode* find(const char* key);     // null where it is absent; counts as known from then on
+  const YamlNode* require(const char* key);  // complains where it is absent
 
-  void time(const char* key, limits::Maybe<TimeUs>& to, TimeUs least = 1);
-  void count(const char* key, limits::Maybe<int>& to, int least, int most);
-  void number(const char* key, limits::Maybe<double>& to, double least, double most);
+  void time(const char* key, limits::Maybe<TimeUs>& to, TimeUs min_value = 1);
+  void count(const char* key, limits::Maybe<int>& to, int min_value, int max_value);
+  void number(const char* key, limits::Maybe<double>& to, double min_value, double max_value);
   void share(const char* key, limits::Maybe<double>& to);  // 0 to 1, or 0% to 100%
   void word(const char* key, limits::Maybe<std::string>& to);
-  bool either(const char* key, const char* usual, const char* other);  // true: the other one is stated
+  bool is_alternative(const char* key, const char* default_word,
+                      const char* other_word);  // true: the other one is stated
 
   // Complains of every key that was not asked for.
-  void finish();
+  void report_unknown_fields();
   void fault(const YamlNode& at, const std::string& key, std::string why);
 
  private:
   const YamlNode& node_;
   std::string path_;
   std::vector<Fault>& faults_;
-  std::vector<const char*> known_;
+  std::vector<const char*> requested_keys_;
 };
 
 // Complains unless the file's form is one that this program reads (`version`).
-void need_version(Fields& top);
+void require_supported_version(Fields& top);
 
 // Values of one node; nothing where it is no such value.
 std::optional<TimeUs> to_time(const YamlNode& node);    // a number with us, ms, s or m; up to an hour
--- a/src/operator_file/fleet_file.h
+++ b/src/operator_file/fleet_file.h
@@ -10,12 +10,12 @@
 
 namespace orchidgw::operator_file {
 
-struct ReadFleet {
+struct FleetFileResult {
   fleet::FleetConfig fleet;
   std::vector<limits::Fault> faults;  // none: it may be used
 };
 
 // Reads a text, of whatever form: it never throws on one.
-ReadFleet read_fleet_file(std::string_view text, const Size& most = {});
+FleetFileResult read_fleet_file(std::string_view text, const FileSizeLimits& size_limits = {});
 
 }  // namespace orchidgw::operator_file
--- a/src/operator_file/fleet_reader.cpp
+++ b/src/operator_file/fleet_reader.cpp
@@ -12,12 +12,12 @@
 
 using namespace limits;
 
-constexpr int kLargestMost = 10'000;
-constexpr TimeUs kTermLeast = 200'000, kTermMost = 60'000'000;
-constexpr TimeUs kRampMost = 600'000'000;
-constexpr double kDriftMost = 0.1;
-constexpr double kMillion = 1e6;
-constexpr int kCountMost = 1'000'000;
+constexpr int kMaxFleetSize = 10'000;
+constexpr TimeUs kMinLeaseTerm = 200'000, kMaxLeaseTerm = 60'000'000;
+constexpr TimeUs kMaxRamp = 600'000'000;
+constexpr double kMaxDrift = 0.1;
+constexpr double kPpmPerUnit = 1e6;
+constexpr int kMaxCount = 1'000'000;
 
 class FleetReader {
  public:
@@ -26,25 +26,25 @@
   void read(const YamlNode& root) {
     Fields top(root, "", faults_);
     if (!top.is_map()) return;
-    need_version(top);
-    if (const YamlNode* name = top.need("fleet")) read_name(*name);
+    require_supported_version(top);
+    if (const YamlNode* name = top.require("fleet")) read_name(*name);
     Maybe<int> revision, largest, attempts;
-    if (top.need("revision") != nullptr) top.count("revision", revision, 1, kCountMost);
-    if (top.need("largest") != nullptr) top.count("largest", largest, 1, kLargestMost);
-    top.count("further_attempts", attempts, 0, kCountMost);
+    if (top.require("revision") != nullptr) top.count("revision", revision, 1, kMaxCount);
+    if (top.require("largest") != nullptr) top.count("largest", largest, 1, kMaxFleetSize);
+    top.count("further_attempts", attempts, 0, kMaxCount);
     if (revision) to_.revision = static_cast<std::uint64_t>(revision->value);
     if (largest) to_.largest = largest->value;
     if (attempts) to_.further_attempts = attempts->value;
-    if (const YamlNode* lease = top.need("lease")) read_lease(*lease);
+    if (const YamlNode* lease = top.require("lease")) read_lease(*lease);
     if (const YamlNode* comes_back = top.find("return")) read_return(*comes_back);
     if (const YamlNode* keys = top.find("keys")) read_keys(*keys);
     if (const YamlNode* division = top.find("division")) read_division(*division);
-    if (const YamlNode* keepers = top.need("keepers")) read_keepers(top, *keepers);
+    if (const YamlNode* keepers = top.require("keepers")) read_keepers(top, *keepers);
     Maybe<std::string> store;
     top.word("store", store);
     if (store) to_.store = store->value;
-    to_.careful = top.either("bad_store", "refuse", "careful");
-    top.finish();
+    to_.careful = top.is_alternative("bad_store", "refuse", "careful");
+    top.report_unknown_fields();
   }
 
  private:
@@ -53,9 +53,9 @@
     if (!fields.is_map()) return;
     Maybe<std::string> name;
     Maybe<int> number;
-    if (fields.need("name") != nullptr) fields.word("name", name);
-    if (fields.need("number") != nullptr) fields.count("number", number, 1, kCountMost);
-    fields.finish();
+    if (fields.require("name") != nullptr) fields.word("name", name);
+    if (fields.require("number") != nullptr) fields.count("number", number, 1, kMaxCount);
+    fields.report_unknown_fields();
     if (name) to_.name = name->value;
     if (number) to_.number = static_cast<std::uint64_t>(number->value);
   }
@@ -65,30 +65,30 @@
     if (!fields.is_map()) return;
     Maybe<TimeUs> term;
     Maybe<double> drift;
-    if (fields.need("term") != nullptr) fields.time("term", term, kTermLeast);
-    if (fields.need("drift") != nullptr) fields.share("drift", drift);
-    fields.finish();
-    if (term && term->value > kTermMost) fields.fault(*fields.find("term"), "term", "60s at most");
-    if (drift && drift->value > kDriftMost) fields.fault(*fields.find("drift"), "drift", "10% at most");
+    if (fields.require("term") != nullptr) fields.time("term", term, kMinLeaseTerm);
+    if (fields.require("drift") != nullptr) fields.share("drift", drift);
+    fields.report_unknown_fields();
+    if (term && term->value > kMaxLeaseTerm) fields.fault(*fields.find("term"), "term", "60s at most");
+    if (drift && drift->value > kMaxDrift) fields.fault(*fields.find("drift"), "drift", "10% at most");
     if (term) to_.term = term->value;
-    if (drift) to_.drift_ppm = std::llround(drift->value * kMillion);
+    if (drift) to_.drift_ppm = std::llround(drift->value * kPpmPerUnit);
   }
 
   void read_return(const YamlNode& node) {
     Fields fields(node, "return", faults_);
     if (!fields.is_map()) return;
     Maybe<TimeUs> ramp;
-    if (fields.need("ramp") != nullptr) fields.time("ramp", ramp, kTermLeast);
-    fields.finish();
-    if (ramp && ramp->value > kRampMost) fields.fault(*fields.find("ramp"), "ramp", "10m at most");
+    if (fields.require("ramp") != nullptr) fields.time("ramp", ramp, kMinLeaseTerm);
+    fields.report_unknown_fields();
+    if (ramp && ramp->value > kMaxRamp) fields.fault(*fields.find("ramp"), "ramp", "10m at most");
     if (ramp) to_.ramp = ramp->value;
   }
 
   void read_keys(const YamlNode& node) {
     Fields fields(node, "keys", faults_);
     if (!fields.is_map()) return;
-    if (fields.need("scope") != nullptr) to_.keys = fields.either("scope", "controller", "fleet");
-    fields.finish();
+    if (fields.require("scope") != nullptr) to_.keys = fields.is_alternative("scope", "controller", "fleet");
+    fields.report_unknown_fields();
   }
 
   void read_division(const YamlNode& node) {
@@ -97,13 +97,13 @@
     const auto share = [&](const char* key, std::int64_t& ppm) {
       Maybe<double> value;
       fields.share(key, value);
-      if (value) ppm = std::llround(value->value * kMillion);
+      if (value) ppm = std::llround(value->value * kPpmPerUnit);
     };
     share("cut_off", to_.division.cut_off_ppm);
     share("reserve", to_.division.reserve_ppm);
     share("least", to_.division.least_ppm);
-    fields.finish();
-    if (to_.division.cut_off_ppm + to_.division.reserve_ppm >= static_cast<std::int64_t>(kMillion))
+    fields.report_unknown_fields();
+    if (to_.division.cut_off_ppm + to_.division.reserve_ppm >= static_cast<std::int64_t>(kPpmPerUnit))
       fields.fault(node, "", "cut_off and reserve leave nothing to lease: together below 100%");
   }
 
@@ -117,10 +117,10 @@
       if (!fields.is_map()) continue;
       Maybe<int> id;
       Maybe<std::string> name, address;
-      if (fields.need("id") != nullptr) fields.count("id", id, 1, kCountMost);
-      if (fields.need("name") != nullptr) fields.word("name", name);
-      if (fields.need("address") != nullptr) fields.word("address", address);
-      fields.finish();
+      if (fields.require("id") != nullptr) fields.count("id", id, 1, kMaxCount);
+      if (fields.require("name") != nullptr) fields.word("name", name);
+      if (fields.require("address") != nullptr) fields.word("address", address);
+      fields.report_unknown_fields();
       if (!id || !name || !address) continue;
       if (!ids.insert(id->value).second) fields.fault(*fields.find("id"), "id", "another keeper has it");
       if (!names.insert(name->value).second)
@@ -143,9 +143,9 @@
 
 }  // namespace
 
-ReadFleet read_fleet_file(std::string_view text, const Size& most) {
-  ReadFleet out;
-  const YamlNode root = parse_yaml(text, most, out.faults);
+FleetFileResult read_fleet_file(std::string_view text, const FileSizeLimits& size_limits) {
+  FleetFileResult out;
+  const YamlNode root = parse_yaml(text, size_limits, out.faults);
   if (!out.faults.empty()) return out;
   FleetReader(out.faults, out.fleet).read(root);
   std::stable_sort(out.faults.begin(), out.faults.end(), [](const Fault& a, const Fault& b) {
--- a/src/operator_file/levels_reader.cpp
+++ b/src/operator_file/levels_reader.cpp
@@ -11,7 +11,7 @@
 
 using namespace service_level;  // the values that the file states
 
-constexpr std::size_t kPartsMost = 32;
+constexpr std::size_t kMaxListEntries = 32;
 
 class LevelsReader {
  public:
@@ -19,11 +19,11 @@
 
   void read(const YamlNode& node, LevelFile& to) {
     Fields fields(node, "levels", faults_);
-    if (const YamlNode* list = fields.need("list")) read_list(fields, *list, to.levels);
+    if (const YamlNode* list = fields.require("list")) read_list(fields, *list, to.levels);
     if (const YamlNode* trial = fields.find("trial")) read_trial(*trial, to.trial);
     if (const YamlNode* changes = fields.find("changes")) read_changes(*changes, to.changes);
     if (const YamlNode* manual = fields.find("manual")) read_manual(*manual, to.manual);
-    fields.finish();
+    fields.report_unknown_fields();
   }
 
  private:
@@ -40,7 +40,7 @@
     if (!fields.is_map()) return;
     Maybe<std::string> name, tenant;
     Maybe<TimeUs> least, longest;
-    if (fields.need("name") != nullptr) fields.word("name", name);
+    if (fields.require("name") != nullptr) fields.word("name", name);
     fields.word("tenant", tenant);
     fields.time("least_stay", least);
     fields.time("longest_stay", longest);
@@ -49,11 +49,11 @@
     if (least) to.least_stay = least->value;
     if (longest) to.longest_stay = longest->value;
     if (!longest) to.longest_stay = std::max(to.longest_stay, to.least_stay);
-    if (const YamlNode* enter = fields.need("enter")) read_condition(*enter, path + ".enter", to.enter, 0);
-    if (const YamlNode* leave = fields.need("leave")) read_condition(*leave, path + ".leave", to.leave, 0);
-    if (const YamlNode* effects = fields.need("effects"))
+    if (const YamlNode* enter = fields.require("enter")) read_condition(*enter, path + ".enter", to.enter, 0);
+    if (const YamlNode* leave = fields.require("leave")) read_condition(*leave, path + ".leave", to.leave, 0);
+    if (const YamlNode* effects = fields.require("effects"))
       read_effects(*effects, path + ".effects", to.effects);
-    fields.finish();
+    fields.report_unknown_fields();
   }
 
   void read_condition(const YamlNode& node, const std::string& path, Condition& to, int depth) {
@@ -62,31 +62,31 @@
     if (!fields.is_map()) return;
     const YamlNode* all = fields.find("all");
     const YamlNode* any = fields.find("any");
-    if (all == nullptr && any == nullptr) return read_leaf(fields, to);
+    if (all == nullptr && any == nullptr) return read_signal_condition(fields, to);
     to.kind = all != nullptr ? Condition::Kind::kAll : Condition::Kind::kAny;
     const YamlNode& list = all != nullptr ? *all : *any;
     const char* word = all != nullptr ? "all" : "any";
     if (all != nullptr && any != nullptr) return fields.fault(node, "", "one of all and any is wanted");
-    fields.finish();
+    fields.report_unknown_fields();
     if (depth > 1) return fields.fault(node, "", "all and any go two deep at most");
-    if (list.kind != YamlNode::Kind::kSequence || list.items.empty() || list.items.size() > kPartsMost)
+    if (list.kind != YamlNode::Kind::kSequence || list.items.empty() || list.items.size() > kMaxListEntries)
       return fields.fault(list, word, "a list of 1 to 32 conditions is wanted");
     for (std::size_t i = 0; i < list.items.size(); ++i)
       read_condition(list.items[i], path + "." + word + "[" + std::to_string(i) + "]",
                      to.parts.emplace_back(), depth + 1);
   }
 
-  void read_leaf(Fields& fields, Condition& to) {
+  void read_signal_condition(Fields& fields, Condition& to) {
     Maybe<std::string> signal, class_name, tenant;
     Maybe<TimeUs> hold, window;
-    if (fields.need("signal") != nullptr) fields.word("signal", signal);
+    if (fields.require("signal") != nullptr) fields.word("signal", signal);
     fields.word("class", class_name);
     fields.word("tenant", tenant);
     fields.time("for", hold);
     fields.time("over", window, 1'000'000);
     const YamlNode* above = fields.find("above");
     const YamlNode* below = fields.find("below");
-    fields.finish();
+    fields.report_unknown_fields();
     if (class_name) to.key.class_name = class_name->value;
     if (tenant) to.key.tenant = tenant->value;
     if (hold) to.hold = hold->value;
@@ -125,10 +125,10 @@
     Fields fields(node, path, faults_);
     if (!fields.is_map()) return;
     if (const YamlNode* shed = fields.find("shed")) read_shed(fields, *shed, path, to.shed);
-    off(fields, "second_copies", to.no_second_copies);
-    off(fields, "further_attempts", to.no_further_attempts);
-    scale(fields, "limits", to.limits);
-    scale(fields, "grants", to.grants);
+    read_off_switch(fields, "second_copies", to.no_second_copies);
+    read_off_switch(fields, "further_attempts", to.no_further_attempts);
+    read_scale(fields, "limits", to.limits);
+    read_scale(fields, "grants", to.grants);
     Maybe<TimeUs> hold;
     fields.time("longest_hold", hold);
     if (hold) to.longest_hold = hold->value;
@@ -143,10 +143,10 @@
         to.priority = minus ? -*by : *by;
       }
     }
-    fields.finish();
+    fields.report_unknown_fields();
   }
 
-  static void off(Fields& fields, const char* key, bool& to) {
+  static void read_off_switch(Fields& fields, const char* key, bool& to) {
     Maybe<std::string> word;
     fields.word(key, word);
     if (!word) return;
@@ -154,7 +154,7 @@
     if (!to) fields.fault(*fields.find(key), key, "'off' is wanted: a level can't switch it on");
   }
 
-  static void scale(Fields& fields, const char* key, double& to) {
+  static void read_scale(Fields& fields, const char* key, double& to) {
     Maybe<double> share;
     fields.share(key, share);
     if (!share) return;
@@ -163,7 +163,7 @@
   }
 
   void read_shed(Fields& outer, const YamlNode& node, const std::string& path, std::vector<Shed>& to) {
-    if (node.kind != YamlNode::Kind::kSequence || node.items.size() > kPartsMost)
+    if (node.kind != YamlNode::Kind::kSequence || node.items.size() > kMaxListEntries)
       return outer.fault(node, "shed", "a list of 32 entries at most is wanted");
     for (std::size_t i = 0; i < node.items.size(); ++i) {
       Fields fields(node.items[i], path + ".shed[" + std::to_string(i) + "]", faults_);
@@ -172,7 +172,7 @@
       fields.word("class", class_name);
       fields.word("tenant", tenant);
       fields.share("share", share);
-      fields.finish();
+      fields.report_unknown_fields();
       Shed& shed = to.emplace_back();
       shed.place = node.items[i].place;
       if (class_name) shed.class_name = class_name->value;
@@ -194,10 +194,10 @@
       to.parts.clear();
       for (const YamlNode& item : parts->items)
         if (const auto part = to_share(item); part && *part > 0 && *part < 1) to.parts.push_back(*part);
-      if (to.parts.empty() || to.parts.size() != parts->items.size() || to.parts.size() > kPartsMost)
+      if (to.parts.empty() || to.parts.size() != parts->items.size() || to.parts.size() > kMaxListEntries)
         fields.fault(*parts, "parts", "a list of shares between 0 and 1 is wanted");
     }
-    fields.finish();
+    fields.report_unknown_fields();
   }
 
   void read_changes(const YamlNode& node, ChangeBound& to) {
@@ -208,15 +208,15 @@
     fields.time("within", window, 1'000'000);
     if (most) to.most = most->value;
     if (window) to.window = window->value;
-    fields.finish();
+    fields.report_unknown_fields();
   }
 
   void read_manual(const YamlNode& node, std::optional<Manual>& to) {
     Fields fields(node, "levels.manual", faults_);
     Maybe<std::string> level, until;
-    if (fields.need("level") != nullptr) fields.word("level", level);
-    if (fields.need("until") != nullptr) fields.word("until", until);
-    fields.finish();
+    if (fields.require("level") != nullptr) fields.word("level", level);
+    if (fields.require("until") != nullptr) fields.word("until", until);
+    fields.report_unknown_fields();
     if (!level || !until) return;
     std::tm utc{};
     const char* end = ::strptime(until->value.c_str(), "%Y-%m-%dT%H:%M:%SZ", &utc);
--- a/src/operator_file/loader.cpp
+++ b/src/operator_file/loader.cpp
@@ -14,31 +14,31 @@
 namespace orchidgw::operator_file {
 namespace {
 
-constexpr int kReadings = 5;  // of a file that changes meanwhile
+constexpr int kMaxReads = 5;  // of a file that changes meanwhile
 
 [[noreturn]] void fail(const std::string& path, const std::string& why) {
   throw std::runtime_error(path + ": " + why);
 }
 
 // Guards against a start or a reload that ends because the system lacked a descriptor for a moment.
-[[noreturn]] void fail_call(const std::string& path) {
+[[noreturn]] void throw_system_error(const std::string& path) {
   const SystemCallError error(SystemCall::kFile, errno, path);
   if (error.may_pass()) throw error;
   fail(path, std::strerror(error.code().value()));
 }
 
-bool same(const struct stat& a, const struct stat& b) {
+bool same_file_state(const struct stat& a, const struct stat& b) {
   return a.st_dev == b.st_dev && a.st_ino == b.st_ino && a.st_size == b.st_size &&
          a.st_mtim.tv_sec == b.st_mtim.tv_sec && a.st_mtim.tv_nsec == b.st_mtim.tv_nsec;
 }
 
-std::string read_all(const std::string& path, int fd, std::size_t most) {
+std::string read_all(const std::string& path, int fd, std::size_t max_bytes) {
   std::string text;
   char bytes[16384];
-  while (text.size() <= most) {
+  while (text.size() <= max_bytes) {
     const ssize_t n = ::read(fd, bytes, sizeof bytes);
     if (n < 0 && errno == EINTR) continue;
-    if (n < 0) fail_call(path);
+    if (n < 0) throw_system_error(path);
     if (n == 0) break;
     text.append(bytes, static_cast<std::size_t>(n));
   }
@@ -47,20 +47,20 @@
 
 }  // namespace
 
-std::string load_text(const std::string& path, std::size_t bytes_most) {
-  for (int reading = 0; reading < kReadings; ++reading) {
+std::string load_file(const std::string& path, std::size_t max_bytes) {
+  for (int round = 0; round < kMaxReads; ++round) {
     // Not blocking: a pipe of that name must not hold up the loop.
     const Descriptor file(::open(path.c_str(), O_RDONLY | O_CLOEXEC | O_NONBLOCK));
-    if (file.get() < 0) fail_call(path);
+    if (file.get() < 0) throw_system_error(path);
     struct stat before {};
     struct stat after {};
-    struct stat named {};
-    if (::fstat(file.get(), &before) != 0) fail_call(path);
+    struct stat at_path {};
+    if (::fstat(file.get(), &before) != 0) throw_system_error(path);
     if (!S_ISREG(before.st_mode)) fail(path, "not a plain file");
-    std::string text = read_all(path, file.get(), bytes_most);
-    if (::fstat(file.get(), &after) != 0) fail_call(path);
-    if (::stat(path.c_str(), &named) != 0) continue;  // between two files: look again
-    if (same(before, after) && same(after, named)) return text;
+    std::string text = read_all(path, file.get(), max_bytes);
+    if (::fstat(file.get(), &after) != 0) throw_system_error(path);
+    if (::stat(path.c_str(), &at_path) != 0) continue;  // between two files: look again
+    if (same_file_state(before, after) && same_file_state(after, at_path)) return text;
   }
   fail(path, "it changed each time while it was read");
 }
--- a/src/operator_file/reader.cpp
+++ b/src/operator_file/reader.cpp
@@ -11,56 +11,57 @@
 
 using namespace limits;  // the values that a file states
 
-constexpr int kCountMost = 1'000'000;
-constexpr std::pair<const char*, OutcomeKind> kEnds[] = {{"error", OutcomeKind::kError},
-                                                         {"full", OutcomeKind::kFull},
-                                                         {"timeout", OutcomeKind::kTimeout},
-                                                         {"connect_failed", OutcomeKind::kConnectFailed},
-                                                         {"reset", OutcomeKind::kReset}};
-constexpr std::array<const char*, 4> kLevels = {"error", "warn", "info", "debug"};
-constexpr std::array<const char*, 5> kComponents = {"core", "net", "config", "limits", "fleet"};
+constexpr int kMaxCount = 1'000'000;
+constexpr std::pair<const char*, OutcomeKind> kOutcomeNames[] = {
+    {"error", OutcomeKind::kError},
+    {"full", OutcomeKind::kFull},
+    {"timeout", OutcomeKind::kTimeout},
+    {"connect_failed", OutcomeKind::kConnectFailed},
+    {"reset", OutcomeKind::kReset}};
+constexpr std::array<const char*, 4> kLogLevels = {"error", "warn", "info", "debug"};
+constexpr std::array<const char*, 5> kLogComponents = {"core", "net", "config", "limits", "fleet"};
 
-bool word_ok(std::string_view text) {
+bool is_valid_name(std::string_view text) {
   return !text.empty() && text.size() <= 64 && std::all_of(text.begin(), text.end(), [](unsigned char c) {
     return std::isalnum(c) != 0 || c == '-' || c == '_' || c == '.';
   });
 }
 
-class Reader {
+class OperatorFileReader {
  public:
-  explicit Reader(std::vector<Fault>& faults) : faults_(faults) {}
+  explicit OperatorFileReader(std::vector<Fault>& faults) : faults_(faults) {}
 
   void read(const YamlNode& root, OperatorFile& file) {
     Fields top(root, "", faults_);
     if (!top.is_map()) return;
-    need_version(top);
+    require_supported_version(top);
     if (const YamlNode* log = top.find("log")) read_log(*log, file.log);
     if (const YamlNode* defaults = top.find("defaults")) {
       Fields fields(*defaults, "defaults", faults_);
       read_bounds(fields, file.limits.defaults);
-      fields.finish();
+      fields.report_unknown_fields();
     }
     if (const YamlNode* retries = top.find("retries")) read_retries(*retries, "retries", file.limits.retries);
     if (const YamlNode* routes = top.find("routes")) read_routes(top, *routes, file.limits.routes);
     if (const YamlNode* levels = top.find("levels")) read_levels(*levels, faults_, file.levels);
-    top.finish();
+    top.report_unknown_fields();
   }
 
  private:
   void read_log(const YamlNode& node, LogChoice& to) {
     Fields fields(node, "log", faults_);
-    one_of(fields, "level", kLevels, to.level);
+    one_of(fields, "level", kLogLevels, to.level);
     one_of(fields, "format", std::array<const char*, 2>{"text", "json"}, to.format);
     if (const YamlNode* components = fields.find("components")) {
       Fields each(*components, "log.components", faults_);
-      for (const char* name : kComponents) {
+      for (const char* name : kLogComponents) {
         std::string level;
-        one_of(each, name, kLevels, level);
+        one_of(each, name, kLogLevels, level);
         if (!level.empty()) to.components[name] = level;
       }
-      each.finish();
+      each.report_unknown_fields();
     }
-    fields.finish();
+    fields.report_unknown_fields();
   }
 
   template <std::size_t N>
@@ -81,7 +82,7 @@
       return top.fault(node, "routes", "a list of routes is wanted");
     to.reserve(node.items.size());
     for (std::size_t i = 0; i < node.items.size(); ++i) {
-      if (faults_.size() >= kFaultsMost) return;
+      if (faults_.size() >= kMaxFaults) return;
       read_route(node.items[i], "routes[" + std::to_string(i) + "]", to.emplace_back());
     }
   }
@@ -90,17 +91,17 @@
     Fields fields(node, path, faults_);
     to.place = node.place;
     if (!fields.is_map()) return;
-    if (const YamlNode* name = fields.need("name")) {
-      if (name->kind == YamlNode::Kind::kScalar && word_ok(name->text)) {
+    if (const YamlNode* name = fields.require("name")) {
+      if (name->kind == YamlNode::Kind::kScalar && is_valid_name(name->text)) {
         to.name = name->text;
       } else {
         fields.fault(*name, "name", "a name of letters, digits, '-', '_' and '.' is wanted, 64 at most");
       }
     }
     fields.word("like", to.like);
-    if (const YamlNode* match = fields.need("match")) read_match(*match, path + ".match", to.match);
+    if (const YamlNode* match = fields.require("match")) read_match(*match, path + ".match", to.match);
     read_bounds(fields, to.bounds);
-    fields.finish();
+    fields.report_unknown_fields();
   }
 
   void read_match(const YamlNode& node, const std::string& path, Match& to) {
@@ -116,7 +117,7 @@
     } else if (key) {
       to.key = {key->value == "given" ? KeyMatch::kGiven : KeyMatch::kAbsent, key->place};
     }
-    fields.finish();
+    fields.report_unknown_fields();
     if (node.members.empty()) fields.fault(node, "", "matches everything: that is what defaults are for");
   }
 
@@ -141,7 +142,7 @@
     fields.time("attempt_timeout", to.attempt_timeout);
     fields.time("longest_hold", to.longest_hold);
     fields.count("attempts", to.attempts, 1, 100);
-    fields.count("line", to.line, 0, kCountMost);
+    fields.count("line", to.line, 0, kMaxCount);
     if (const YamlNode* node = fields.find("second_copy")) read_copy(fields, *node, to.second_copy);
     if (const YamlNode* node = fields.find("back_off")) read_back_off(fields, *node, to.back_off);
     if (const YamlNode* node = fields.find("retry_on")) read_retry_on(fields, *node, to.retry_on);
@@ -166,7 +167,7 @@
     fields.number("after_quantile", quantile, 0.5, 0.999);
     fields.time("at_least", at_least);
     fields.time("at_most", at_most);
-    fields.finish();
+    fields.report_unknown_fields();
     if (faults_.size() > before) return;
     if (after.has_value() == quantile.has_value())
       return outer.fault(node, "second_copy", "one of after and after_quantile is wanted");
@@ -186,11 +187,11 @@
     const std::size_t before = faults_.size();
     Maybe<TimeUs> first, most;
     Maybe<double> factor, jitter;
-    if (fields.need("first") != nullptr) fields.time("first", first);
+    if (fields.require("first") != nullptr) fields.time("first", first);
     fields.time("most", most);
     fields.number("factor", factor, 1, 10);
     fields.share("jitter", jitter);
-    fields.finish();
+    fields.report_unknown_fields();
     if (faults_.size() > before || !first) return;
     BackOff b;
     b.first = first->value;
@@ -205,9 +206,9 @@
       return outer.fault(node, "retry_on", "a list of ends is wanted");
     RetryOn on;
     for (const YamlNode& item : node.items) {
-      const auto it = std::find_if(std::begin(kEnds), std::end(kEnds),
+      const auto it = std::find_if(std::begin(kOutcomeNames), std::end(kOutcomeNames),
                                    [&](const auto& e) { return item.text == e.first; });
-      if (it == std::end(kEnds))
+      if (it == std::end(kOutcomeNames))
         return outer.fault(item, "retry_on",
                            "one of these is wanted: error, full, timeout, connect_failed, reset");
       if (on.has(it->second)) return outer.fault(item, "retry_on", "'" + item.text + "' stands here twice");
@@ -219,18 +220,18 @@
   void read_concurrency(Fields& outer, const YamlNode& node, Maybe<Concurrency>& to) {
     Maybe<int> most, least;
     if (node.kind == YamlNode::Kind::kScalar) {
-      outer.count("concurrency", most, 0, kCountMost);
+      outer.count("concurrency", most, 0, kMaxCount);
       if (most) to = {Concurrency{most->value, 0}, node.place};
       return;
     }
     Fields fields(node, outer.path() + ".concurrency", faults_);
     const std::size_t before = faults_.size();
     const bool scoped = fields.find("scope") != nullptr;
-    if (!scoped) static_cast<void>(fields.need("least"));
-    fields.count("least", least, 1, kCountMost);
-    if (fields.need("most") != nullptr) fields.count("most", most, 1, kCountMost);
+    if (!scoped) static_cast<void>(fields.require("least"));
+    fields.count("least", least, 1, kMaxCount);
+    if (fields.require("most") != nullptr) fields.count("most", most, 1, kMaxCount);
     const bool fleet = read_scope(fields);
-    fields.finish();
+    fields.report_unknown_fields();
     if (faults_.size() == before && most && (least || scoped))
       to = {Concurrency{most->value, least ? least->value : 0, fleet}, node.place};
   }
@@ -239,10 +240,10 @@
     Fields fields(node, outer.path() + ".rate", faults_);
     const std::size_t before = faults_.size();
     Maybe<double> per_second, burst;
-    if (fields.need("per_second") != nullptr) fields.number("per_second", per_second, 0, 1e6);
+    if (fields.require("per_second") != nullptr) fields.number("per_second", per_second, 0, 1e6);
     fields.number("burst", burst, 1, 1e6);
     const bool fleet = read_scope(fields);
-    fields.finish();
+    fields.report_unknown_fields();
     if (faults_.size() > before || !per_second) return;
     if (per_second->value > 0 && per_second->value < 1e-3)
       return fields.fault(node, "per_second", "0, or 0.001 and more is wanted");
@@ -250,17 +251,17 @@
   }
 
   // Whether it holds for all controllers of the fleet together.
-  bool read_scope(Fields& fields) { return fields.either("scope", "controller", "fleet"); }
+  bool read_scope(Fields& fields) { return fields.is_alternative("scope", "controller", "fleet"); }
 
   void read_retries(const YamlNode& node, const std::string& path, Maybe<RetryShare>& to) {
     Fields fields(node, path, faults_);
     const std::size_t before = faults_.size();
     Maybe<double> share, floor;
     Maybe<TimeUs> window;
-    if (fields.need("share") != nullptr) fields.share("share", share);
+    if (fields.require("share") != nullptr) fields.share("share", share);
     fields.number("floor", floor, 0, 1e6);
     fields.time("window", window, 1'000);
-    fields.finish();
+    fields.report_unknown_fields();
     if (faults_.size() > before || !share) return;
     RetryShare out;
     out.share = share->value;
@@ -274,15 +275,15 @@
 
 }  // namespace
 
-ReadFile read_operator_file(std::string_view text, const Size& most) {
-  ReadFile out;
-  const YamlNode root = parse_yaml(text, most, out.faults);
+OperatorFileResult read_operator_file(std::string_view text, const FileSizeLimits& size_limits) {
+  OperatorFileResult out;
+  const YamlNode root = parse_yaml(text, size_limits, out.faults);
   if (!out.faults.empty()) return out;
-  Reader(out.faults).read(root, out.file);
+  OperatorFileReader(out.faults).read(root, out.file);
   std::stable_sort(out.faults.begin(), out.faults.end(), [](const Fault& a, const Fault& b) {
     return std::pair(a.place.line, a.place.column) < std::pair(b.place.line, b.place.column);
   });
-  if (out.faults.size() > kFaultsMost) out.faults.resize(kFaultsMost);
+  if (out.faults.size() > kMaxFaults) out.faults.resize(kMaxFaults);
   return out;
 }
 
--- a/src/operator_file/yaml_tree.cpp
+++ b/src/operator_file/yaml_tree.cpp
@@ -15,7 +15,7 @@
 Place place_of(const YAML::Mark& mark) { return {mark.line + 1, mark.column + 1}; }
 
 // Stops the parser: what follows could only mislead.
-struct Stop {};
+struct ParseStopped {};
 
 // Reads a text where it stands.
 class TextBuffer final : public std::streambuf {
@@ -28,16 +28,15 @@
 
 class TreeBuilder final : public YAML::EventHandler {
  public:
-  TreeBuilder(std::size_t nodes_most, std::vector<Fault>& faults)
-      : nodes_most_(nodes_most), faults_(faults) {}
+  TreeBuilder(std::size_t max_nodes, std::vector<Fault>& faults) : max_nodes_(max_nodes), faults_(faults) {}
 
-  YamlNode take() { return std::move(root_); }
+  YamlNode take_root() { return std::move(root_); }
 
   void OnDocumentStart(const YAML::Mark&) override {}
   void OnDocumentEnd() override {}
   void OnNull(const YAML::Mark& mark, YAML::anchor_t anchor) override {
     YamlNode node = node_at(mark, YamlNode::Kind::kNull, "", anchor);
-    put(std::move(node));
+    add_node(std::move(node));
   }
   void OnAlias(const YAML::Mark& mark, YAML::anchor_t) override { stop(mark, "aliases are not taken"); }
   void OnScalar(const YAML::Mark& mark, const std::string& tag, YAML::anchor_t anchor,
@@ -46,23 +45,23 @@
     node.quoted = tag == "!";
     node.text = value;
     if (!node.quoted && (value == "~" || value == "null")) node.kind = YamlNode::Kind::kNull;
-    put(std::move(node));
+    add_node(std::move(node));
   }
   void OnSequenceStart(const YAML::Mark& mark, const std::string& tag, YAML::anchor_t anchor,
                        YAML::EmitterStyle::value) override {
-    open_.push_back({node_at(mark, YamlNode::Kind::kSequence, tag, anchor), {}, {}, false});
+    open_nodes_.push_back({node_at(mark, YamlNode::Kind::kSequence, tag, anchor), {}, {}, false});
     check_depth(mark);
   }
   void OnSequenceEnd() override { close(); }
   void OnMapStart(const YAML::Mark& mark, const std::string& tag, YAML::anchor_t anchor,
                   YAML::EmitterStyle::value) override {
-    open_.push_back({node_at(mark, YamlNode::Kind::kMap, tag, anchor), {}, {}, false});
+    open_nodes_.push_back({node_at(mark, YamlNode::Kind::kMap, tag, anchor), {}, {}, false});
     check_depth(mark);
   }
   void OnMapEnd() override { close(); }
 
  private:
-  struct Open {
+  struct OpenNode {
     YamlNode node;
     YamlNode key;  // of a map: the one whose value comes next
     std::unordered_set<std::string> keys;
@@ -71,7 +70,7 @@
 
   [[noreturn]] void stop(const YAML::Mark& mark, const char* why) {
     faults_.push_back({place_of(mark), "", why});
-    throw Stop{};
+    throw ParseStopped{};
   }
 
   // Guards against anchors that expand without end, and tags that change what a value is.
@@ -79,7 +78,7 @@
                    YAML::anchor_t anchor) {
     if (anchor != 0) stop(mark, "anchors are not taken");
     if (!tag.empty() && tag != "?" && tag != "!") stop(mark, "tags are not taken");
-    if (++nodes_ > nodes_most_) stop(mark, "more values than the memory limit allows");
+    if (++node_count_ > max_nodes_) stop(mark, "more values than the memory limit allows");
     YamlNode node;
     node.kind = kind;
     node.place = place_of(mark);
@@ -87,32 +86,32 @@
   }
 
   void check_depth(const YAML::Mark& mark) {
-    if (open_.size() > kDepthMost) stop(mark, "nested too deeply");
+    if (open_nodes_.size() > kMaxDepth) stop(mark, "nested too deeply");
   }
 
   void close() {
-    YamlNode node = std::move(open_.back().node);
-    open_.pop_back();
-    put(std::move(node));
+    YamlNode node = std::move(open_nodes_.back().node);
+    open_nodes_.pop_back();
+    add_node(std::move(node));
   }
 
-  void put(YamlNode node) {
-    if (open_.empty()) {
+  void add_node(YamlNode node) {
+    if (open_nodes_.empty()) {
       root_ = std::move(node);
       return;
     }
-    Open& open = open_.back();
+    OpenNode& open = open_nodes_.back();
     if (open.node.kind == YamlNode::Kind::kSequence) {
       open.node.items.push_back(std::move(node));
     } else if (!open.has_key) {
-      take_key(open, std::move(node));
+      add_key(open, std::move(node));
     } else {
       open.node.members.push_back({std::move(open.key), std::move(node)});
       open.has_key = false;
     }
   }
 
-  void take_key(Open& open, YamlNode key) {
+  void add_key(OpenNode& open, YamlNode key) {
     if (key.kind != YamlNode::Kind::kScalar) {
       faults_.push_back({key.place, "", "a key must be a word"});
     } else if (!open.keys.insert(key.text).second) {
@@ -122,11 +121,11 @@
     open.has_key = true;
   }
 
-  std::size_t nodes_most_;
+  std::size_t max_nodes_;
   std::vector<Fault>& faults_;
-  std::vector<Open> open_;
+  std::vector<OpenNode> open_nodes_;
   YamlNode root_;
-  std::size_t nodes_ = 0;
+  std::size_t node_count_ = 0;
 };
 
 Place place_at(std::string_view text, std::size_t at) {
@@ -150,14 +149,14 @@
     }
     const std::size_t length = c >= 0xf0 && c <= 0xf4 ? 4 : c >= 0xe0 ? 3 : c >= 0xc2 && c < 0xe0 ? 2 : 0;
     if (length == 0 || c > 0xf4 || i + length > text.size()) return i;
-    unsigned point = c & (0xffU >> (length + 1));
+    unsigned code_point = c & (0xffU >> (length + 1));
     for (std::size_t k = 1; k < length; ++k) {
       const auto next = static_cast<unsigned char>(text[i + k]);
       if ((next & 0xc0) != 0x80) return i;
-      point = point << 6 | (next & 0x3f);
+      code_point = code_point << 6 | (next & 0x3f);
     }
-    const bool overlong = (length == 3 && point < 0x800) || (length == 4 && point < 0x10000);
-    if (overlong || point > 0x10ffff || (point >= 0xd800 && point <= 0xdfff)) return i;
+    const bool overlong = (length == 3 && code_point < 0x800) || (length == 4 && code_point < 0x10000);
+    if (overlong || code_point > 0x10ffff || (code_point >= 0xd800 && code_point <= 0xdfff)) return i;
     i += length;
   }
   return std::string_view::npos;
@@ -170,9 +169,9 @@
   return text == "..." || text.ends_with("\n...");
 }
 
-bool fit_to_parse(std::string_view text, std::size_t bytes_most, std::vector<Fault>& faults) {
-  if (text.size() > bytes_most) {
-    faults.push_back({{1, 1}, "", "over " + std::to_string(bytes_most) + " bytes"});
+bool check_text(std::string_view text, std::size_t max_bytes, std::vector<Fault>& faults) {
+  if (text.size() > max_bytes) {
+    faults.push_back({{1, 1}, "", "over " + std::to_string(max_bytes) + " bytes"});
   } else if (const auto bad = first_bad_byte(text); bad != std::string_view::npos) {
     faults.push_back({place_at(text, bad), "", "not a text in UTF-8"});
   } else if (!has_end_marker(text)) {
@@ -183,18 +182,18 @@
 
 }  // namespace
 
-YamlNode parse_yaml(std::string_view text, const Size& most, std::vector<Fault>& faults) {
-  if (!fit_to_parse(text, most.bytes, faults)) return {};
+YamlNode parse_yaml(std::string_view text, const FileSizeLimits& size_limits, std::vector<Fault>& faults) {
+  if (!check_text(text, size_limits.bytes, faults)) return {};
   TextBuffer buffer(text);
   std::istream in(&buffer);
-  TreeBuilder builder(most.nodes, faults);
+  TreeBuilder builder(size_limits.nodes, faults);
   try {
     YAML::Parser parser(in);
     parser.HandleNextDocument(builder);
-    YamlNode root = builder.take();
+    YamlNode root = builder.take_root();
     if (parser.HandleNextDocument(builder)) faults.push_back({{1, 1}, "", "more than one document"});
     return root;
-  } catch (const Stop&) {
+  } catch (const ParseStopped&) {
   } catch (const YAML::Exception& e) {
     faults.push_back({place_of(e.mark), "", "no YAML: " + e.msg});
   }
--- a/src/operator_file/yaml_tree.h
+++ b/src/operator_file/yaml_tree.h
@@ -17,7 +17,7 @@
 using limits::Fault;
 using limits::Place;
 
-inline constexpr std::size_t kDepthMost = 12;
+inline constexpr std::size_t kMaxDepth = 12;
 
 struct Member;
 
@@ -37,6 +37,6 @@
 };
 
 // The only document of `text`. Adds what is wrong with its form to `faults`; then the tree is not to be used.
-YamlNode parse_yaml(std::string_view text, const Size& most, std::vector<Fault>& faults);
+YamlNode parse_yaml(std::string_view text, const FileSizeLimits& size_limits, std::vector<Fault>& faults);
 
 }  // namespace orchidgw::operator_file
--- a/src/thrift/binary.cpp
+++ b/src/thrift/binary.cpp
@@ -3,10 +3,10 @@
 namespace orchidgw::thrift {
 namespace {
 
-constexpr int kDepthMost = 16;  // of structures inside structures
+constexpr int kMaxDepth = 16;  // of structures inside structures
 
 // The least that an element of a container takes: guards against endless containers in a short frame.
-std::size_t least_size(FieldType type) {
+std::size_t min_size(FieldType type) {
   switch (type) {
     case FieldType::kBool:
     case FieldType::kByte:
@@ -70,8 +70,8 @@
 std::string_view Reader::bytes() { return take(u32()); }
 
 void Reader::skip_all(std::uint32_t count, FieldType key, FieldType value, int depth) {
-  const std::size_t least = least_size(key) + least_size(value);
-  if (count > 0 && (least == 0 || count > rest_.size() / least)) return fail();
+  const std::size_t min_element_size = min_size(key) + min_size(value);
+  if (count > 0 && (min_element_size == 0 || count > rest_.size() / min_element_size)) return fail();
   for (std::uint32_t i = 0; i < count && ok_; ++i) {
     if (key != FieldType::kStop) skip(key, depth + 1);
     skip(value, depth + 1);
@@ -79,7 +79,7 @@
 }
 
 void Reader::skip(FieldType type, int depth) {
-  if (depth > kDepthMost) return fail();
+  if (depth > kMaxDepth) return fail();
   switch (type) {
     case FieldType::kBool:
     case FieldType::kByte:
--- a/src/thrift/fleet_codec.cpp
+++ b/src/thrift/fleet_codec.cpp
@@ -19,15 +19,15 @@
   MemberKey key;
   Member member;
 };
-struct RestEntry {  // of a table of keys
+struct KeyHoldEntry {  // of a table of keys
   std::string identity;
   Rest rest;
 };
-struct WholeState {
+struct EncodedState {
   Terms terms;
   std::vector<MemberEntry> members;
   Parts level = kFullLevel;
-  std::vector<RestEntry> rests;
+  std::vector<KeyHoldEntry> rests;
   std::uint64_t last_number = 0;
   bool settled = false;
 };
@@ -62,14 +62,14 @@
     f(1, t.to), f(2, t.seq), f(3, t.wants);
   } else if constexpr (std::is_same_v<S, Rest>) {
     f(1, t.holder), f(2, t.query), f(3, t.number), f(4, t.time);
-  } else if constexpr (std::is_same_v<S, RestEntry>) {
+  } else if constexpr (std::is_same_v<S, KeyHoldEntry>) {
     f(1, t.identity), f(2, t.rest);
   } else if constexpr (std::is_same_v<S, Member>) {
     f(1, t.seq), f(2, t.number), f(3, t.acked), f(4, t.superseded), f(5, t.term), f(6, t.demand);
     f(7, t.granted), f(8, t.held), f(9, t.unacked);
   } else if constexpr (std::is_same_v<S, MemberEntry>) {
     f(1, t.key), f(2, t.member);
-  } else if constexpr (std::is_same_v<S, WholeState>) {
+  } else if constexpr (std::is_same_v<S, EncodedState>) {
     f(1, t.terms), f(2, t.members), f(3, t.level), f(4, t.rests), f(5, t.last_number), f(6, t.settled);
   } else if constexpr (std::is_same_v<S, Hello>) {
     f(1, t.version), f(2, t.fleet), f(3, t.number), f(4, t.from), f(5, t.keeper), f(6, t.begun), f(7, t.at);
@@ -115,29 +115,29 @@
 // --- Writing ----------------------------------------------------------------------------------------------
 
 template <typename T>
-void write(Writer& w, const T& value) {
+void write(Writer& writer, const T& value) {
   if constexpr (std::is_same_v<T, bool>) {
-    w.u8(value ? 1 : 0);
+    writer.u8(value ? 1 : 0);
   } else if constexpr (type_of<T>() == FieldType::kI32) {
-    w.u32(static_cast<std::uint32_t>(value));
+    writer.u32(static_cast<std::uint32_t>(value));
   } else if constexpr (type_of<T>() == FieldType::kI64) {
     const auto bits = static_cast<std::uint64_t>(value);
-    w.u32(static_cast<std::uint32_t>(bits >> 32));
-    w.u32(static_cast<std::uint32_t>(bits));
+    writer.u32(static_cast<std::uint32_t>(bits >> 32));
+    writer.u32(static_cast<std::uint32_t>(bits));
   } else if constexpr (std::is_same_v<T, std::string>) {
-    w.bytes(value);
+    writer.bytes(value);
   } else if constexpr (IsVector<T>::value) {
-    w.u8(static_cast<std::uint8_t>(type_of<typename T::value_type>()));
-    w.u32(static_cast<std::uint32_t>(value.size()));
-    for (const auto& item : value) write(w, item);
+    writer.u8(static_cast<std::uint8_t>(type_of<typename T::value_type>()));
+    writer.u32(static_cast<std::uint32_t>(value.size()));
+    for (const auto& item : value) write(writer, item);
   } else {
     each_field(
-        [&w](std::uint16_t id, const auto& field) {
-          w.field(type_of<std::remove_cvref_t<decltype(field)>>(), id);
-          write(w, field);
+        [&writer](std::uint16_t id, const auto& field) {
+          writer.field(type_of<std::remove_cvref_t<decltype(field)>>(), id);
+          write(writer, field);
         },
         value);
-    w.stop();
+    writer.stop();
   }
 }
 
@@ -145,7 +145,7 @@
 
 // What an element takes at the least: guards against a count that reserves memory without bytes behind it.
 template <typename T>
-constexpr std::size_t least_bytes() {
+constexpr std::size_t min_size() {
   switch (type_of<T>()) {
     case FieldType::kI64:
       return 8;
@@ -158,27 +158,27 @@
 }
 
 template <typename T>
-void read(Reader& r, T& value) {
+void read(Reader& reader, T& value) {
   if constexpr (std::is_same_v<T, bool>) {
-    value = r.u8() != 0;
+    value = reader.u8() != 0;
   } else if constexpr (type_of<T>() == FieldType::kI32) {
-    value = static_cast<T>(r.u32());
+    value = static_cast<T>(reader.u32());
   } else if constexpr (type_of<T>() == FieldType::kI64) {
-    const std::uint64_t high = r.u32();
-    value = static_cast<T>(high << 32 | r.u32());
+    const std::uint64_t high = reader.u32();
+    value = static_cast<T>(high << 32 | reader.u32());
   } else if constexpr (std::is_same_v<T, std::string>) {
-    value = std::string(r.bytes());
+    value = std::string(reader.bytes());
   } else if constexpr (IsVector<T>::value) {
     using Item = typename T::value_type;
-    const bool fits = static_cast<FieldType>(r.u8()) == type_of<Item>();
-    const std::uint32_t count = r.u32();
-    if (!fits || count > r.left() / least_bytes<Item>()) return r.fail();
-    for (std::uint32_t i = 0; i < count && r.ok(); ++i) read(r, value.emplace_back());
+    const bool fits = static_cast<FieldType>(reader.u8()) == type_of<Item>();
+    const std::uint32_t count = reader.u32();
+    if (!fits || count > reader.left() / min_size<Item>()) return reader.fail();
+    for (std::uint32_t i = 0; i < count && reader.ok(); ++i) read(reader, value.emplace_back());
   } else {
-    while (r.ok()) {
-      const auto type = static_cast<FieldType>(r.u8());
+    while (reader.ok()) {
+      const auto type = static_cast<FieldType>(reader.u8());
       if (type == FieldType::kStop) return;
-      const std::uint16_t id = r.u16();
+      const std::uint16_t id = reader.u16();
       bool known = false;
       each_field(
           [&](std::uint16_t one, auto& field) {
@@ -186,45 +186,45 @@
             if (one != id || known || type != type_of<F>()) return;
             known = true;
             field = F{};
-            read(r, field);
+            read(reader, field);
           },
           value);
-      if (!known) r.skip(type);  // of a later version
+      if (!known) reader.skip(type);  // of a later version
     }
   }
 }
 
 template <typename T>
-std::optional<T> read_whole(Reader& r) {
+std::optional<T> read_all(Reader& reader) {
   T value;
-  read(r, value);
-  if (!r.ok() || r.left() > 0) return std::nullopt;
+  read(reader, value);
+  if (!reader.ok() || reader.left() > 0) return std::nullopt;
   return value;
 }
 
-constexpr const char* kNames[] = {"hello", "ask", "grant", "elsewhere", "log", "keys", "keys_told"};
-static_assert(std::size(kNames) == std::variant_size_v<Message>);
+constexpr const char* kMessageNames[] = {"hello", "ask", "grant", "elsewhere", "log", "keys", "keys_told"};
+static_assert(std::size(kMessageNames) == std::variant_size_v<Message>);
 
 template <std::size_t I>
-std::optional<Message> read_as(std::string_view name, Reader& r) {
+std::optional<Message> read_as(std::string_view name, Reader& reader) {
   if constexpr (I == std::variant_size_v<Message>) {
     return std::nullopt;
   } else {
-    if (name != kNames[I]) return read_as<I + 1>(name, r);
-    auto value = read_whole<std::variant_alternative_t<I, Message>>(r);
+    if (name != kMessageNames[I]) return read_as<I + 1>(name, reader);
+    auto value = read_all<std::variant_alternative_t<I, Message>>(reader);
     return value ? std::optional<Message>(std::move(*value)) : std::nullopt;
   }
 }
 
 template <typename T>
 std::string bytes_of(const T& value) {
-  Writer w;
-  write(w, value);
-  return w.text();
+  Writer writer;
+  write(writer, value);
+  return writer.text();
 }
 
 // A ledger is no sound one if a list in it has another length than its allowances.
-bool sound(const WholeState& state) {
+bool list_lengths_match(const EncodedState& state) {
   const std::size_t n = state.terms.allowances.size();
   for (const MemberEntry& m : state.members)
     if (m.member.demand.size() != n || m.member.granted.size() != n || m.member.held.size() != n ||
@@ -237,7 +237,7 @@
 
 std::string write_fleet(const fleet::Message& message) {
   Writer body;
-  body.message(MessageType::kOneway, kNames[message.index()], 0);
+  body.message(MessageType::kOneway, kMessageNames[message.index()], 0);
   std::visit([&body](const auto& value) { write(body, value); }, message);
   Writer out;
   out.bytes(body.text());
@@ -245,37 +245,38 @@
 }
 
 std::optional<fleet::Message> read_fleet(std::string_view frame) {
-  Reader r(frame);
-  const std::uint32_t head = r.u32();
-  const std::string_view name = r.bytes();
-  r.u32();
-  if (!r.ok() || head != (kVersion1 | static_cast<std::uint32_t>(MessageType::kOneway))) return std::nullopt;
-  return read_as<0>(name, r);
+  Reader reader(frame);
+  const std::uint32_t head = reader.u32();
+  const std::string_view name = reader.bytes();
+  reader.u32();
+  if (!reader.ok() || head != (kVersion1 | static_cast<std::uint32_t>(MessageType::kOneway)))
+    return std::nullopt;
+  return read_as<0>(name, reader);
 }
 
 std::string write_entry(const fleet::Entry& entry) { return bytes_of(entry); }
 
 std::optional<fleet::Entry> read_entry(std::string_view bytes) {
-  Reader r(bytes);
-  return read_whole<fleet::Entry>(r);
+  Reader reader(bytes);
+  return read_all<fleet::Entry>(reader);
 }
 
 std::string write_state(const fleet::State& state) {
   const budget::Ledger& ledger = state.ledger;
-  WholeState out{ledger.terms(), {}, ledger.level(), {}, state.keys.last_number(), state.keys.settled()};
+  EncodedState out{ledger.terms(), {}, ledger.level(), {}, state.keys.last_number(), state.keys.settled()};
   for (const auto& [key, member] : ledger.members()) out.members.push_back({key, member});
   for (const auto& [identity, rest] : state.keys.rests()) out.rests.push_back({identity, rest});
   return bytes_of(out);
 }
 
 std::optional<fleet::State> read_state(std::string_view bytes) {
-  Reader r(bytes);
-  auto state = read_whole<WholeState>(r);
-  if (!state || !sound(*state)) return std::nullopt;
+  Reader reader(bytes);
+  auto state = read_all<EncodedState>(reader);
+  if (!state || !list_lengths_match(*state)) return std::nullopt;
   std::map<MemberKey, Member> members;
   for (MemberEntry& m : state->members) members.emplace(std::move(m.key), std::move(m.member));
   KeyTable::Rests rests;
-  for (RestEntry& one : state->rests) rests.emplace(std::move(one.identity), std::move(one.rest));
+  for (KeyHoldEntry& one : state->rests) rests.emplace(std::move(one.identity), std::move(one.rest));
   fleet::State out;
   out.ledger.restore(std::move(state->terms), std::move(members), state->level);
   out.keys.restore(std::move(rests), state->last_number, state->settled);
--- a/src/thrift/frame_reader.cpp
+++ b/src/thrift/frame_reader.cpp
@@ -5,31 +5,32 @@
 namespace orchidgw::thrift {
 namespace {
 
-constexpr int kHeadBytes = 4;
-constexpr std::size_t kKeptMost = 4096;  // of room between frames: one large frame must not cost it for ever
+constexpr int kLengthBytes = 4;
+constexpr std::size_t kMaxKeptCapacity =
+    4096;  // of room between frames: one large frame must not cost it for ever
 
 }  // namespace
 
 FrameReader::Result FrameReader::feed(std::string_view& bytes) {
-  if (whole_) {
-    whole_ = false;
-    head_bytes_ = 0;
+  if (complete_) {
+    complete_ = false;
+    length_bytes_ = 0;
     length_ = 0;
     body_.clear();
-    if (body_.capacity() > kKeptMost) body_.shrink_to_fit();
+    if (body_.capacity() > kMaxKeptCapacity) body_.shrink_to_fit();
   }
-  while (head_bytes_ < kHeadBytes) {
+  while (length_bytes_ < kLengthBytes) {
     if (bytes.empty()) return Result::kMore;
     length_ = length_ << 8 | static_cast<unsigned char>(bytes.front());
     bytes.remove_prefix(1);
-    ++head_bytes_;
+    ++length_bytes_;
   }
-  if (length_ == 0 || length_ > most_) return Result::kBroken;  // a negative length is a huge one
+  if (length_ == 0 || length_ > max_bytes_) return Result::kBroken;  // a negative length is a huge one
   const std::size_t n = std::min<std::size_t>(bytes.size(), length_ - body_.size());
   body_.append(bytes.substr(0, n));
   bytes.remove_prefix(n);
   if (body_.size() < length_) return Result::kMore;
-  whole_ = true;
+  complete_ = true;
   return Result::kFrame;
 }
 
--- a/src/thrift/frame_reader.h
+++ b/src/thrift/frame_reader.h
@@ -11,7 +11,7 @@
  public:
   enum class Result { kMore, kFrame, kBroken };
 
-  explicit FrameReader(std::size_t most) : most_(most) {}
+  explicit FrameReader(std::size_t max_bytes) : max_bytes_(max_bytes) {}
 
   // Takes bytes off the front of `bytes` until a frame is whole or none are left.
   Result feed(std::string_view& bytes);
@@ -19,13 +19,13 @@
   const std::string& frame() const { return body_; }  // after kFrame, until the next feed
   // What a frame that is not whole takes, with the room that its string has beyond it.
   std::size_t gathered() const { return inside() ? body_.capacity() : 0; }
-  bool inside() const { return head_bytes_ > 0 && !whole_; }
+  bool inside() const { return length_bytes_ > 0 && !complete_; }
 
  private:
-  std::size_t most_;
+  std::size_t max_bytes_;
   std::uint32_t length_ = 0;
-  int head_bytes_ = 0;
-  bool whole_ = false;
+  int length_bytes_ = 0;
+  bool complete_ = false;
   std::string body_;
 };
 
--- a/src/thrift/front.cpp
+++ b/src/thrift/front.cpp
@@ -13,10 +13,10 @@
 using TextMap = std::map<std::string, std::string, std::less<>>;
 
 constexpr std::size_t kReferenceDigits = 16;
-constexpr std::size_t kPlainMost = 256;
+constexpr std::size_t kMaxHeaderValueBytes = 256;
 constexpr std::int64_t kUsPerMs = 1000;
-constexpr double kAllowMostMs = 24.0 * 3600 * 1000;
-constexpr double kNumberMost = 1e12;
+constexpr double kMaxTimeBudgetMs = 24.0 * 3600 * 1000;
+constexpr double kMaxEstimate = 1e12;
 
 constexpr std::uint16_t kFieldsId = 1;
 constexpr std::uint16_t kBodyId = 2;
@@ -29,8 +29,8 @@
 
 // What is passed on as a header: short and of visible characters. Guards against heads that an engine can't
 // read.
-bool is_plain(const std::string& text) {
-  return text.size() <= kPlainMost &&
+bool is_header_value(const std::string& text) {
+  return text.size() <= kMaxHeaderValueBytes &&
          std::all_of(text.begin(), text.end(), [](char c) { return c > 0x20 && c < 0x7f; });
 }
 
@@ -40,33 +40,33 @@
 }
 
 // A figure that may be absent: 0 then. Nothing if it is no number from 0.
-std::optional<double> figure_in(const TextMap& fields, std::string_view key) {
+std::optional<double> number_or_zero(const TextMap& fields, std::string_view key) {
   const std::string text = value_in(fields, key);
   if (text.empty()) return 0.0;
   const auto value = core::parse_finite(text);
-  if (!value || *value < 0 || *value > kNumberMost) return std::nullopt;
+  if (!value || *value < 0 || *value > kMaxEstimate) return std::nullopt;
   return value;
 }
 
 // Fills `call` with the request, or with what is wrong with it.
 void read_request(const TextMap& fields, std::string_view body, FrontCall& call) {
-  const auto unusable = [&](const char* why) { call.why = why; };
+  const auto reject = [&](const char* why) { call.why = why; };
   core::ClientRequest request;
   request.class_name = value_in(fields, "service");
   request.reference = value_in(fields, "ref");
   request.tenant = value_in(fields, "project");
   request.idempotency_key = value_in(fields, "replay");
   request.repeat = value_in(fields, "dup") == "1";
-  if (!is_reference(request.reference)) return unusable("ref: 16 hex digits are needed");
-  if (request.class_name.empty() || !is_plain(request.class_name)) return unusable("service: missing");
-  if (!is_plain(request.idempotency_key)) return unusable("replay: a plain text is needed");
+  if (!is_reference(request.reference)) return reject("ref: 16 hex digits are needed");
+  if (request.class_name.empty() || !is_header_value(request.class_name)) return reject("service: missing");
+  if (!is_header_value(request.idempotency_key)) return reject("replay: a plain text is needed");
   const auto allow = core::parse_finite(value_in(fields, "allow"));
-  if (!allow || *allow <= 0 || *allow > kAllowMostMs)
-    return unusable("allow: milliseconds above 0 are needed");
-  const auto effort = figure_in(fields, "effort");
-  if (!effort) return unusable("effort: a number is needed");
-  const auto memory = figure_in(fields, "mem");
-  if (!memory) return unusable("mem: a number is needed");
+  if (!allow || *allow <= 0 || *allow > kMaxTimeBudgetMs)
+    return reject("allow: milliseconds above 0 are needed");
+  const auto effort = number_or_zero(fields, "effort");
+  if (!effort) return reject("effort: a number is needed");
+  const auto memory = number_or_zero(fields, "mem");
+  if (!memory) return reject("mem: a number is needed");
   request.time_budget = static_cast<TimeUs>(std::llround(*allow * kUsPerMs));
   request.cost_estimate = static_cast<TimeUs>(std::llround(*effort * kUsPerMs));
   request.memory_mb = *memory;
@@ -127,24 +127,24 @@
 
 std::string exception_result(std::int32_t sequence, std::uint16_t id,
                              const std::map<std::string, std::string>& fields) {
-  Writer w;
-  w.message(MessageType::kReply, "invoke", sequence);
-  w.field(FieldType::kStruct, id);
-  w.field(FieldType::kMap, 1);
-  w.text_map(fields);
-  w.stop();
-  w.stop();
-  return framed(w);
+  Writer writer;
+  writer.message(MessageType::kReply, "invoke", sequence);
+  writer.field(FieldType::kStruct, id);
+  writer.field(FieldType::kMap, 1);
+  writer.text_map(fields);
+  writer.stop();
+  writer.stop();
+  return framed(writer);
 }
 
 // What follows the body of an `Answer` that is the result of a method.
-void end_answer(Writer& w, bool good) {
-  w.field(FieldType::kMap, 2);
-  w.text_map({});
-  w.field(FieldType::kBool, 3);
-  w.u8(good ? 1 : 0);
-  w.stop();
-  w.stop();
+void end_answer(Writer& writer, bool good) {
+  writer.field(FieldType::kMap, 2);
+  writer.text_map({});
+  writer.field(FieldType::kBool, 3);
+  writer.u8(good ? 1 : 0);
+  writer.stop();
+  writer.stop();
 }
 
 }  // namespace
@@ -175,20 +175,20 @@
 }
 
 std::string served_head(std::int32_t sequence, std::size_t rows) {
-  Writer w;
-  w.message(MessageType::kReply, "invoke", sequence);
-  w.field(FieldType::kStruct, 0);
-  w.field(FieldType::kString, 1);
-  w.u32(static_cast<std::uint32_t>(rows));
+  Writer writer;
+  writer.message(MessageType::kReply, "invoke", sequence);
+  writer.field(FieldType::kStruct, 0);
+  writer.field(FieldType::kString, 1);
+  writer.u32(static_cast<std::uint32_t>(rows));
   Writer head;
-  head.u32(static_cast<std::uint32_t>(w.text().size() + rows + served_tail().size()));
-  return head.text() + w.text();
+  head.u32(static_cast<std::uint32_t>(writer.text().size() + rows + served_tail().size()));
+  return head.text() + writer.text();
 }
 
 std::string served_tail() {
-  Writer w;
-  end_answer(w, true);
-  return w.text();
+  Writer writer;
+  end_answer(writer, true);
+  return writer.text();
 }
 
 std::string refused(std::int32_t sequence, std::int64_t cooldown_ms) {
@@ -204,25 +204,25 @@
 }
 
 std::string pong(std::int32_t sequence, bool good) {
-  Writer w;
-  w.message(MessageType::kReply, "ping", sequence);
-  w.field(FieldType::kStruct, 0);
-  w.field(FieldType::kString, 1);
-  w.bytes("");
-  end_answer(w, good);
-  return framed(w);
+  Writer writer;
+  writer.message(MessageType::kReply, "ping", sequence);
+  writer.field(FieldType::kStruct, 0);
+  writer.field(FieldType::kString, 1);
+  writer.bytes("");
+  end_answer(writer, good);
+  return framed(writer);
 }
 
 std::string application_exception(std::string_view method, std::int32_t sequence, ApplicationError error,
                                   const std::string& why) {
-  Writer w;
-  w.message(MessageType::kException, method, sequence);
-  w.field(FieldType::kString, 1);
-  w.bytes(why);
-  w.field(FieldType::kI32, 2);
-  w.u32(static_cast<std::uint32_t>(error));
-  w.stop();
-  return framed(w);
+  Writer writer;
+  writer.message(MessageType::kException, method, sequence);
+  writer.field(FieldType::kString, 1);
+  writer.bytes(why);
+  writer.field(FieldType::kI32, 2);
+  writer.u32(static_cast<std::uint32_t>(error));
+  writer.stop();
+  return framed(writer);
 }
 
 }  // namespace orchidgw::thrift
--- a/tests/fuzz/operator_file_fuzz.cpp
+++ b/tests/fuzz/operator_file_fuzz.cpp
@@ -23,7 +23,7 @@
   return s;
 }
 
-void take(const std::string& text) {
+void check_text(const std::string& text) {
   static const orchidgw::Settings kSettings = settings();
   const auto read = orchidgw::operator_file::read_operator_file(text);
   for (const auto& fault : read.faults)
@@ -38,7 +38,7 @@
 
 extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t* data, std::size_t size) {
   const std::string text(reinterpret_cast<const char*>(data), size);
-  take(text);
-  take("version: 1\n" + text + "\n...\n");  // past the form's first hurdles
+  check_text(text);
+  check_text("version: 1\n" + text + "\n...\n");  // past the form's first hurdles
   return 0;
 }
--- a/tests/unit/config_test.cpp
+++ b/tests/unit/config_test.cpp
@@ -25,7 +25,7 @@
          kKnown + "," + rest + "}";
 }
 
-std::string complaint(const std::string& text) {
+std::string parse_error(const std::string& text) {
   try {
     parse_controller_config(text);
   } catch (const FieldError& e) {
@@ -56,14 +56,14 @@
 }
 
 TEST(ControllerConfig, NamesTheFieldThatIsWrong) {
-  EXPECT_NE(complaint("not json").find("BALANCER_CONFIG"), std::string::npos);
-  EXPECT_NE(complaint("[]").find("BALANCER_CONFIG"), std::string::npos);
-  EXPECT_NE(complaint(config("\"nowhere\"")).find("listen"), std::string::npos);
-  EXPECT_NE(complaint(config("\"10.0.0.4:0\"")).find("listen"), std::string::npos);
-  EXPECT_NE(complaint(config("17")).find("listen"), std::string::npos);
-  EXPECT_NE(complaint(config("\"10.0.0.4:1\"", R"("settings":7)")).find("settings"), std::string::npos);
-  EXPECT_NE(complaint(config("\"10.0.0.4:1\"", R"("settings":{})")).find("classes"), std::string::npos);
-  EXPECT_EQ(complaint(config()), "none");
+  EXPECT_NE(parse_error("not json").find("BALANCER_CONFIG"), std::string::npos);
+  EXPECT_NE(parse_error("[]").find("BALANCER_CONFIG"), std::string::npos);
+  EXPECT_NE(parse_error(config("\"nowhere\"")).find("listen"), std::string::npos);
+  EXPECT_NE(parse_error(config("\"10.0.0.4:0\"")).find("listen"), std::string::npos);
+  EXPECT_NE(parse_error(config("17")).find("listen"), std::string::npos);
+  EXPECT_NE(parse_error(config("\"10.0.0.4:1\"", R"("settings":7)")).find("settings"), std::string::npos);
+  EXPECT_NE(parse_error(config("\"10.0.0.4:1\"", R"("settings":{})")).find("classes"), std::string::npos);
+  EXPECT_EQ(parse_error(config()), "none");
 }
 
 // The settings that the module reads for the new deployments: a misspelt word passed for the old shape.
@@ -73,17 +73,17 @@
     settings.replace(settings.find(R"("domain":{)") + 10, 0, domain);
     return config("\"10.0.0.4:1\"", settings);
   };
-  EXPECT_EQ(complaint(with(R"("whenShort":"overcommit",)")), "none");
+  EXPECT_EQ(parse_error(with(R"("whenShort":"overcommit",)")), "none");
   EXPECT_EQ(parse_controller_config(with(R"("whenShort":"overcommit",)")).settings.when_short,
             WhenShort::kPage);
   EXPECT_EQ(parse_controller_config(config()).settings.when_short, WhenShort::kWait);  // as before
-  EXPECT_NE(complaint(with(R"("whenShort":"page",)")).find("domain.whenShort"), std::string::npos);
-  EXPECT_NE(complaint(with(R"("progressPace":-5,)")).find("domain.progressPace"), std::string::npos);
-  EXPECT_NE(complaint(with(R"("kindMemoryMb":[-1],)")).find("domain.sizeCores"), std::string::npos);
+  EXPECT_NE(parse_error(with(R"("whenShort":"page",)")).find("domain.whenShort"), std::string::npos);
+  EXPECT_NE(parse_error(with(R"("progressPace":-5,)")).find("domain.progressPace"), std::string::npos);
+  EXPECT_NE(parse_error(with(R"("kindMemoryMb":[-1],)")).find("domain.sizeCores"), std::string::npos);
 }
 
 TEST(ControllerConfig, DeeplyNestedInputDoesNoHarm) {
-  EXPECT_NE(complaint(std::string(1'000'000, '[')).find("BALANCER_CONFIG"), std::string::npos);
+  EXPECT_NE(parse_error(std::string(1'000'000, '[')).find("BALANCER_CONFIG"), std::string::npos);
 }
 
 TEST(FleetChanges, ReadsEventsInOrderAndPassesOverOtherKinds) {
