--- a/src/config/address.h
+++ b/src/config/address.h
@@ -1,4 +1,4 @@
-// Reads "10.0.0.4:7001".
+// Parses addresses such as "10.0.0.4:7001".
 #pragma once
 
 #include <optional>
@@ -8,6 +8,7 @@
 
 namespace orchidgw::config {
 
+// `text` is an IPv4 address in dotted form and a port from 1 to 65535. Returns nullopt for anything else.
 std::optional<core::Address> parse_address(const std::string& text);
 
 }  // namespace orchidgw::config
--- a/src/config/controller_config.cpp
+++ b/src/config/controller_config.cpp
@@ -77,7 +77,8 @@
 
 namespace {
 
-// Guards against a start or a reload that ends because the system lacked a descriptor for a moment.
+// Throws SystemCallError for a transient error, for example a lack of descriptors, so that a start or a
+// reload is tried again and doesn't fail for good.
 [[noreturn]] void throw_read_error(const std::string& path) {
   const SystemCallError error(SystemCall::kFile, errno, path);
   if (error.may_pass()) throw error;
--- a/src/config/controller_config.h
+++ b/src/config/controller_config.h
@@ -1,4 +1,4 @@
-// What a controller is told at its start: BALANCER_CONFIG, with BALANCER_NAME and BALANCER_LISTEN before it.
+// The controller's configuration file, BALANCER_CONFIG. BALANCER_NAME and BALANCER_LISTEN take precedence.
 #pragma once
 
 #include <cstdint>
@@ -14,18 +14,19 @@
   std::string name;
   core::Address listen;
   std::uint64_t seed = 0;
-  std::int64_t memory_mb = 0;
-  std::int64_t sockets = 0;
-  core::Address change_log;
-  FleetChanges known;
+  std::int64_t memory_mb = 0;  // memory limit of this process
+  std::int64_t sockets = 0;    // limit of open sockets
+  core::Address change_log;    // the server that publishes changes of the engine list
+  FleetChanges known;          // the engine list when the configuration was written
   Settings settings;
   TimeUs connect_timeout = 0;
-  std::string operator_file;  // the path of the operators' file; empty: none is named here
-  std::string fleet_file;     // likewise of the fleet's
+  std::string operator_file;  // path of the operator file; empty: not set here
+  std::string fleet_file;     // path of the fleet file; empty: not set here
 };
 
-// Throws FieldError naming the field.
+// Both throw FieldError with the name of the bad field. load_controller_config also throws SystemCallError if
+// the file can't be read for a reason that may pass, and applies BALANCER_NAME and BALANCER_LISTEN.
 ControllerConfig parse_controller_config(const std::string& text);
-ControllerConfig load_controller_config(const std::string& path);  // with the environment's name and address
+ControllerConfig load_controller_config(const std::string& path);
 
 }  // namespace orchidgw::config
--- a/src/config/fleet_changes.cpp
+++ b/src/config/fleet_changes.cpp
@@ -12,7 +12,8 @@
 
 constexpr std::int64_t kUsPerMs = 1000;
 
-// Guards against a member with a state of some later version: it is left out, the others count.
+// Returns nullopt for an engine that is invalid or has a state that this version doesn't know: it is left out
+// and the other engines of the event are kept.
 std::optional<core::EngineListing> read_member(const Value& member) {
   if (!member.IsObject()) return std::nullopt;
   core::EngineListing listing;
--- a/src/config/fleet_changes.h
+++ b/src/config/fleet_changes.h
@@ -1,4 +1,5 @@
-// The numbered events of the engine list, as the configuration's `known` and the change log give them.
+// The numbered events of the engine list, as in the configuration's field `known` and the change log's
+// answers.
 #pragma once
 
 #include <rapidjson/document.h>
@@ -14,20 +15,21 @@
 namespace orchidgw::config {
 
 struct FleetChange {
-  std::uint64_t number = 0;
-  bool complete = false;  // the whole list; else only what has changed
+  std::uint64_t number = 0;  // its sequence number
+  bool complete = false;     // `engines` is the whole list; else only the engines that changed
   std::vector<core::EngineListing> engines;
 };
 
 struct FleetChanges {
-  std::uint64_t last = 0;
-  std::vector<FleetChange> changes;  // events of other kinds are left out
+  std::uint64_t last = 0;            // sequence number of the last event
+  std::vector<FleetChange> changes;  // without events of other kinds
 };
 
-// The state of an engine by its word, the same on both programs' lists; nothing for an unknown one.
+// Parses the state of an engine; the change log and the simulator use the same words. nullopt: unknown word.
 std::optional<EngineState> engine_state_named(std::string_view word);
 
-// Throws FieldError. A member that can't be used is left out; the rest of its event counts.
+// Both throw FieldError if the input is no list of events. An invalid engine is left out; the other engines
+// of its event are kept.
 FleetChanges read_fleet_changes(const rapidjson::Value& value);
 FleetChanges parse_fleet_changes(std::string_view text);
 
--- a/src/config/json_fields.h
+++ b/src/config/json_fields.h
@@ -1,4 +1,4 @@
-// Typed reading of JSON objects: every complaint names the field and what is wanted of it.
+// Typed access to the members of JSON objects. Errors name the field and the value that is expected.
 #pragma once
 
 #include <rapidjson/document.h>
@@ -10,29 +10,34 @@
 
 namespace orchidgw::config {
 
-// What is wrong with one value: says which field and why.
+// A field has a bad value, or is missing. The message names the field and what is expected.
 class FieldError : public std::runtime_error {
  public:
   using std::runtime_error::runtime_error;
 };
 
+// Throws FieldError.
 [[noreturn]] void wrong(const std::string& field, const char* requirement);
 
-// The member named `key`; null where it is absent or null.
+// Returns the member named `key`, or nullptr if it is absent or null.
 const rapidjson::Value* find_member(const rapidjson::Value& object, const char* key);
 
+// Rounds a number that is not an integer. Throws FieldError unless it is a finite number below 9e15.
 std::int64_t to_integer(const rapidjson::Value& value, const std::string& field);
 
+// The value of a member, or `default_value` (for string_list: an empty list) if it is absent or null. Throw
+// FieldError if it has another type.
 double number_or(const rapidjson::Value& object, const char* key, double default_value);
 std::int64_t integer_or(const rapidjson::Value& object, const char* key, std::int64_t default_value);
 bool bool_or(const rapidjson::Value& object, const char* key, bool default_value);
 std::string string_or(const rapidjson::Value& object, const char* key, const std::string& default_value);
 std::vector<std::string> string_list(const rapidjson::Value& object, const char* key);
 
-// An empty object where the member is absent.
+// As above; an empty object if the member is absent.
 const rapidjson::Value& object_or_empty(const rapidjson::Value& object, const char* key);
 
-// Element `i` of a list of figures; `otherwise` (or false) where the list or the element is missing.
+// Element `index` of a list; `default_value` (or false) if the list or the element is missing. Throw
+// FieldError if the list or the element has another type.
 double number_at_or(const rapidjson::Value& object, const char* key, rapidjson::SizeType index,
                     double default_value);
 bool bool_at(const rapidjson::Value& object, const char* key, rapidjson::SizeType index);
--- a/src/config/settings_reader.cpp
+++ b/src/config/settings_reader.cpp
@@ -99,14 +99,16 @@
   settings.priorities = bool_or(domain, "lanesCount", false);
   settings.tells_cost = bool_or(domain, "bills", false);
   settings.max_grant_share = number_or(domain, "mostGrant", 1);
-  // The module counts memory where engines page ("overcommit"): a word misspelt must not pass for "line_up".
+  // The decision module tracks memory only if engines page ("overcommit"), so a misspelt word must not be
+  // read as the default, "line_up".
   const std::string when_short = string_or(domain, "whenShort", "line_up");
   if (when_short != "line_up" && when_short != "cut" && when_short != "overcommit")
     wrong("domain.whenShort", "line_up, cut or overcommit is needed");
   settings.when_short = when_short == "cut"          ? WhenShort::kShrink
                         : when_short == "overcommit" ? WhenShort::kPage
                                                      : WhenShort::kWait;
-  // Notes' pace judges runaway attempts; a negative one would have every note look late.
+  // Runaway attempts are detected by overdue progress notes; with a negative interval every note would be
+  // late.
   settings.progress_interval = integer_or(domain, "progressPace", 0);
   if (settings.progress_interval < 0) wrong("domain.progressPace", "0 or more microseconds is needed");
   for (const auto& kind : settings.kinds)
--- a/src/config/settings_reader.h
+++ b/src/config/settings_reader.h
@@ -1,4 +1,4 @@
-// Reads the settings object that the simulator's first message and the controller's configuration share.
+// Reads the settings object, which the simulator's first message and the controller's configuration share.
 #pragma once
 
 #include <rapidjson/document.h>
@@ -7,7 +7,7 @@
 
 namespace orchidgw::config {
 
-// Throws FieldError on a value that can't be used.
+// Throws FieldError if a value is invalid.
 Settings read_settings(const rapidjson::Value& env);
 
 }  // namespace orchidgw::config
--- a/src/configuration/configuration.cpp
+++ b/src/configuration/configuration.cpp
@@ -11,13 +11,13 @@
 namespace orchidgw::configuration {
 namespace {
 
-// Of the memory, one part in 32 is for the operators' file: while it is read, and for its routes with their
-// state, the old and the new beside each other. A route takes up to 6 KB so.
+// 1/32 of the memory is for the operator file: for reading it, and for its routes with their state. Old and
+// new routes exist together during a reload, so that a route takes up to 6 KB.
 constexpr std::size_t kMaxRoutesPerMb = 6;
 constexpr std::size_t kMaxNodesPerMb = 200;
 constexpr std::size_t kMaxBytesPerMb = std::size_t{2} * 1024;
 
-int last_limits_version = 0;  // of the limits that were read, in this process
+int last_limits_version = 0;  // number of the last limits that this process has read
 
 log::Choice log_choice(const Sources& sources, const operator_file::LogChoice& file) {
   log::Choice choice;
--- a/src/configuration/configuration.h
+++ b/src/configuration/configuration.h
@@ -1,5 +1,5 @@
-// All that a controller is told, as one value: BALANCER_CONFIG and the operators' file, both read whole and
-// checked together. Either all of it is right or none is put in force.
+// The complete configuration of a controller: BALANCER_CONFIG, the operator file and the fleet file, read and
+// checked together. It is activated only if all of it is valid.
 #pragma once
 
 #include <memory>
@@ -16,28 +16,28 @@
 
 namespace orchidgw::configuration {
 
-// Where from, as the command line and the environment say; for each setting the flag comes before the
-// environment, and both before the files.
+// Paths and log settings from the command line and the environment. For each setting a flag takes precedence
+// over the environment, and both over the files.
 struct Sources {
-  std::string admin;   // the path of the administration socket; empty: none. It stays until the next start
-  std::string config;  // the path of BALANCER_CONFIG
-  std::string limits;  // the path of the operators' file; empty: `operatorFile` in the configuration, or none
-  std::string fleet;   // the path of the fleet's file; empty: `fleetFile` in the configuration, or none
-  std::string fleet_store;  // a keeper's folder; empty: `store` in the fleet's file
-  std::string intents;      // the folder of what must not run twice; empty: none is kept
-  std::string log_level;    // empty: the operators' file, else info
-  std::string log_format;   // empty: the operators' file, else text
+  std::string admin;        // path of the administration socket; empty: none. A reload doesn't change it
+  std::string config;       // path of the file BALANCER_CONFIG
+  std::string limits;       // path of the operator file; empty: `operatorFile` in the configuration, or none
+  std::string fleet;        // path of the fleet file; empty: `fleetFile` in the configuration, or none
+  std::string fleet_store;  // directory of a keeper's store; empty: `store` in the fleet file
+  std::string intents;      // directory of the store of queries that must not run twice; empty: none
+  std::string log_level;    // empty: as in the operator file, else info
+  std::string log_format;   // empty: as in the operator file, else text
 };
 
 struct Configuration {
   config::ControllerConfig controller;
-  std::shared_ptr<const limits::LimitSet> limits;          // null: no operators' file
-  std::shared_ptr<const service_level::LevelFile> levels;  // null: no operators' file
-  std::optional<fleet::FleetConfig> fleet;                 // none: this controller is alone
+  std::shared_ptr<const limits::LimitSet> limits;          // null: no operator file
+  std::shared_ptr<const service_level::LevelFile> levels;  // null: no operator file
+  std::optional<fleet::FleetConfig> fleet;                 // nullopt: this controller is not in a fleet
   log::Choice log;
 };
 
-// All that is wrong, a line each.
+// The configuration is invalid. `lines` has one line for each fault; it is never empty.
 class ConfigurationError : public std::runtime_error {
  public:
   explicit ConfigurationError(std::vector<std::string> lines)
@@ -48,11 +48,12 @@
   std::vector<std::string> lines_;
 };
 
-// `running`: the settings in force, where a reload can't change them; null at a start. Throws
-// ConfigurationError, or what names the reason.
+// `running`: the settings of the running controller, which a reload can't change, so that limits and levels
+// are checked against them; null at a start. Throws ConfigurationError, or another exception whose message
+// says which file or field is at fault.
 Configuration load(const Sources& sources, const Settings* running);
 
-// What a memory limit allows of the operators' file (docs/architecture.md adds the bounds up).
+// Bounds on the operator file that a memory limit allows (docs/architecture.md adds up all such bounds).
 operator_file::FileSizeLimits file_size_limits(std::int64_t memory_mb);
 std::size_t max_route_count(std::int64_t memory_mb);
 
--- a/src/http/change_log_calls.h
+++ b/src/http/change_log_calls.h
@@ -1,4 +1,4 @@
-// The change log's protocol: one question. No I/O.
+// The change log's protocol, which has one request. No I/O.
 #pragma once
 
 #include <cstdint>
@@ -9,7 +9,8 @@
 
 namespace orchidgw::http {
 
-// Asks for the events after number `since`, to be answered after `hold` at the latest.
+// Returns the HTTP request for the events after number `since`. It is a long poll: the server answers after
+// `hold` (us) at the latest.
 std::string write_changes_call(const core::Address& to, std::uint64_t since, TimeUs hold);
 
 }  // namespace orchidgw::http
--- a/src/http/engine_calls.h
+++ b/src/http/engine_calls.h
@@ -1,4 +1,4 @@
-// The engines' protocol: calls written as HTTP requests, HTTP answers read as what they mean. No I/O.
+// The engines' protocol: formats calls as HTTP requests and interprets HTTP answers. No I/O.
 #pragma once
 
 #include <optional>
@@ -10,13 +10,14 @@
 
 namespace orchidgw::http {
 
+// Upper bound on the body of an answer, which holds one page of rows.
 inline constexpr std::size_t kPageBytesMost = 6000;
 
-// The whole request, as it stands at `now`.
+// Returns the complete request. The time that it gives the engine is counted from `now`.
 std::string write_call(const core::StartCall& call, TimeUs now);
 
-// What a whole answer to a call of that kind means; nothing if it can't be one. `rows` is its body;
-// `whole_rows`: it consists of whole rows.
+// Interprets a complete answer to a call of the given kind; nullopt if it breaks the protocol. `rows` is its
+// body; `whole_rows` says whether that consists of complete rows.
 std::optional<core::CallAnswer> read_answer(core::CallKind kind, const ResponseHead& head,
                                             core::PayloadPtr rows, bool whole_rows);
 
--- a/src/http/response_parser.cpp
+++ b/src/http/response_parser.cpp
@@ -8,7 +8,7 @@
 namespace orchidgw::http {
 namespace {
 
-constexpr std::size_t kMaxHeadBytes = 8192;  // of the status line and all headers
+constexpr std::size_t kMaxHeadBytes = 8192;  // status line and all headers together
 constexpr std::size_t kMaxHeaders = 64;
 
 std::string lower(std::string_view text) {
@@ -81,7 +81,8 @@
   return state_ == State::kDone ? Result::kDone : Result::kMore;
 }
 
-// A line without its end; false if more bytes are needed or a bound is broken.
+// Reads a line, without its CRLF, into `line`. Returns false if more bytes are needed, or, in state kBroken,
+// if the head is too long or the line doesn't end in CRLF.
 bool ResponseParser::take_line(std::string_view& bytes, std::string& line) {
   const auto end = bytes.find('\n');
   const std::size_t n = end == std::string_view::npos ? bytes.size() : end + 1;
@@ -122,7 +123,7 @@
   if (head_.headers.size() >= kMaxHeaders) return false;
   const std::string name = lower(std::string_view(line).substr(0, colon));
   const std::string value(trimmed(std::string_view(line).substr(colon + 1)));
-  if (name == "transfer-encoding") return false;  // guards against bodies of unknown length
+  if (name == "transfer-encoding") return false;  // the body's length must be known
   if (name == "connection" && lower(value) == "close") head_.keep_alive = false;
   if (name == "content-length") {
     const auto length = core::parse_whole<std::size_t>(value);
@@ -135,7 +136,7 @@
 }
 
 bool ResponseParser::end_headers() {
-  if (head_.status < 200) {  // an interim answer: the real one follows
+  if (head_.status < 200) {  // an interim response: the final one follows
     const bool begun = begun_;
     const std::size_t head_bytes = head_bytes_;
     reset();
--- a/src/http/response_parser.h
+++ b/src/http/response_parser.h
@@ -1,4 +1,5 @@
-// Reads HTTP/1.1 answers from bytes split anywhere; lines, headers and bodies are bounded. No I/O.
+// Incremental parser of HTTP/1.1 responses; bytes may be split anywhere. Heads and bodies are bounded. No
+// I/O.
 #pragma once
 
 #include <cstdint>
@@ -12,29 +13,31 @@
 
 struct ResponseHead {
   int status = 0;
-  bool keep_alive = true;
+  bool keep_alive = true;                                    // the connection may be used again
   std::vector<std::pair<std::string, std::string>> headers;  // names in lower case
+  // Returns the value of the first header with that name, or nullptr.
   const std::string* find(std::string_view lower_name) const;
 };
 
 class ResponseParser {
  public:
   enum class Result {
-    kMore,    // all bytes are taken, the answer goes on
-    kBody,    // `piece` holds bytes of the body
-    kDone,    // the answer is whole; bytes behind it are left
-    kBroken,  // the protocol or a bound is broken
+    kMore,    // all bytes are consumed and the response is not complete
+    kBody,    // piece() holds the next bytes of the body
+    kDone,    // the response is complete; bytes after it are left in the input
+    kBroken,  // the response breaks the protocol or exceeds a bound
   };
 
   explicit ResponseParser(std::size_t max_body_bytes) : max_body_bytes_(max_body_bytes) {}
 
-  // Takes bytes off the front of `bytes`. Call again until kMore, kDone or kBroken.
+  // Removes the bytes that it consumes from the front of `bytes`. Call it again after kBody.
   Result feed(std::string_view& bytes);
 
   const ResponseHead& head() const { return head_; }
+  // Part of the bytes that were passed to the last feed(), valid as long as they are.
   std::string_view piece() const { return piece_; }
-  bool begun() const { return begun_; }  // a byte of an answer has come
-  void reset();                          // for the next answer on the connection
+  bool begun() const { return begun_; }  // a byte of a response has arrived
+  void reset();                          // prepares for the next response on the connection
 
  private:
   enum class State { kStatus, kHeaders, kBody, kDone, kBroken };
--- a/src/http/row_check.h
+++ b/src/http/row_check.h
@@ -1,21 +1,22 @@
-// Whether bytes are whole rows of a result, as the engines' protocol has them: three text columns with a tab
-// between them and a line feed behind the last. No I/O.
+// Checks that bytes are complete rows of a result in the engines' format: three text columns separated by
+// tabs and ended by a line feed. No I/O.
 #pragma once
 
 #include <string_view>
 
 namespace orchidgw::http {
 
-// Guards against noise in place of rows, and against rows cut in two, under a head that can be read.
+// Detects noise in place of rows and truncated rows behind a response head that is valid.
 class RowCheck {
  public:
   void feed(std::string_view bytes);
-  bool whole() const { return valid_so_far_ && !in_row_; }  // all rows so far; true for none
+  // True if all bytes so far are complete rows, also without any.
+  bool whole() const { return valid_so_far_ && !in_row_; }
 
  private:
   bool valid_so_far_ = true;
   bool in_row_ = false;
-  int tabs_ = 0;  // of the row that is not over
+  int tabs_ = 0;  // in the current row
 };
 
 }  // namespace orchidgw::http
--- a/src/operator_file/fields.cpp
+++ b/src/operator_file/fields.cpp
@@ -11,7 +11,7 @@
 constexpr TimeUs kMaxTime = 3'600'000'000;
 constexpr std::size_t kMaxWordBytes = 200;
 
-// A decimal number without sign, exponent or white space.
+// Parses a decimal number without sign, exponent or white space.
 std::optional<double> parse_plain_number(std::string_view text) {
   if (text.empty() || text.find_first_not_of("0123456789.") != std::string_view::npos) return std::nullopt;
   double value = 0;
--- a/src/operator_file/fields.h
+++ b/src/operator_file/fields.h
@@ -1,5 +1,6 @@
-// Typed reading of one YAML map: every complaint names the place, the path and what is wanted. A field that
-// is wrong is left unset, and reading goes on: all faults of a file are reported.
+// Typed access to the fields of one YAML map. Each fault has a line, a column, the path of the field and the
+// value that is expected. A field with a bad value is left unset and reading goes on, so that all faults of a
+// file are reported at once.
 #pragma once
 
 #include <string>
@@ -9,28 +10,34 @@
 
 namespace orchidgw::operator_file {
 
+// Refers to the node and the fault list, which must outlive it.
 class Fields {
  public:
-  // Complains where `node` is no map.
+  // `path` is the path of the map in the file, empty for the top level. Adds a fault if `node` is not a map.
   Fields(const YamlNode& node, std::string path, std::vector<Fault>& faults);
 
+  // False after a fault of the constructor; the reading calls below then find no field.
   bool is_map() const { return node_.kind == YamlNode::Kind::kMap; }
   const std::string& path() const { return path_; }
   Place place() const { return node_.place; }
 
-  const YamlNode* find(const char* key);     // null where it is absent; counts as known from then on
-  const YamlNode* require(const char* key);  // complains where it is absent
+  // Each call with a key makes it a known field for report_unknown_fields(). Both return null if the field is
+  // absent or has no value. No value is a fault in both, a missing field only in require().
+  const YamlNode* find(const char* key);
+  const YamlNode* require(const char* key);
 
+  // Each of these reads a field if it is present. A bad value adds a fault and leaves `to` as it was.
   void time(const char* key, limits::Maybe<TimeUs>& to, TimeUs min_value = 1);
   void count(const char* key, limits::Maybe<int>& to, int min_value, int max_value);
   void number(const char* key, limits::Maybe<double>& to, double min_value, double max_value);
   void share(const char* key, limits::Maybe<double>& to);  // 0 to 1, or 0% to 100%
   void word(const char* key, limits::Maybe<std::string>& to);
-  bool is_alternative(const char* key, const char* default_word,
-                      const char* other_word);  // true: the other one is stated
+  // Reads a field that may have two values. Returns true if it is `other_word`; any third value is a fault.
+  bool is_alternative(const char* key, const char* default_word, const char* other_word);
 
-  // Complains of every key that was not asked for.
+  // Adds a fault for each key of the map that no call above has asked for.
   void report_unknown_fields();
+  // Adds a fault at the place of `at`. `key` is appended to this map's path; empty: the map itself.
   void fault(const YamlNode& at, const std::string& key, std::string why);
 
  private:
@@ -40,13 +47,13 @@
   std::vector<const char*> requested_keys_;
 };
 
-// Complains unless the file's form is one that this program reads (`version`).
+// Reads the field `version` and adds a fault unless it is the format version that this program reads.
 void require_supported_version(Fields& top);
 
-// Values of one node; nothing where it is no such value.
-std::optional<TimeUs> to_time(const YamlNode& node);    // a number with us, ms, s or m; up to an hour
-std::optional<double> to_number(const YamlNode& node);  // a plain decimal number
-std::optional<double> to_share(const YamlNode& node);   // as above, or with %
-std::optional<int> to_count(const YamlNode& node);      // a plain whole number
+// The value of a scalar node; nullopt if the node is no such value.
+std::optional<TimeUs> to_time(const YamlNode& node);    // a number with us, ms, s or m; an hour at most
+std::optional<double> to_number(const YamlNode& node);  // without sign or exponent, unquoted
+std::optional<double> to_share(const YamlNode& node);   // as to_number, or a percentage; no upper bound
+std::optional<int> to_count(const YamlNode& node);      // an integer from 0, unquoted
 
 }  // namespace orchidgw::operator_file
--- a/src/operator_file/fleet_file.h
+++ b/src/operator_file/fleet_file.h
@@ -1,5 +1,5 @@
-// The fleet's file: which controllers keep, on which terms parts are leased, how a whole is divided. Read
-// from YAML strictly; every fault names its line.
+// The fleet file: which controllers are keepers, for how long shares are leased, and how limits are divided
+// among the controllers. The YAML is read strictly; each fault has its line and column.
 #pragma once
 
 #include <string_view>
@@ -12,10 +12,10 @@
 
 struct FleetFileResult {
   fleet::FleetConfig fleet;
-  std::vector<limits::Fault> faults;  // none: it may be used
+  std::vector<limits::Fault> faults;  // empty: `fleet` may be used
 };
 
-// Reads a text, of whatever form: it never throws on one.
+// Reads the text of a fleet file. Reports bad input as faults and never throws because of it.
 FleetFileResult read_fleet_file(std::string_view text, const FileSizeLimits& size_limits = {});
 
 }  // namespace orchidgw::operator_file
--- a/src/operator_file/levels_reader.cpp
+++ b/src/operator_file/levels_reader.cpp
@@ -9,7 +9,7 @@
 namespace orchidgw::operator_file {
 namespace {
 
-using namespace service_level;  // the values that the file states
+using namespace service_level;  // types of the values in the file
 
 constexpr std::size_t kMaxListEntries = 32;
 
@@ -204,7 +204,7 @@
     Fields fields(node, "levels.changes", faults_);
     Maybe<int> most;
     Maybe<TimeUs> window;
-    fields.count("most", most, 2, 1000);  // one up and one down
+    fields.count("most", most, 2, 1000);  // at least one level up and one down
     fields.time("within", window, 1'000'000);
     if (most) to.most = most->value;
     if (window) to.window = window->value;
--- a/src/operator_file/levels_reader.h
+++ b/src/operator_file/levels_reader.h
@@ -1,4 +1,4 @@
-// Reads the part `levels` of the operators' file.
+// Reads the section `levels` of the operator file.
 #pragma once
 
 #include <vector>
@@ -8,6 +8,7 @@
 
 namespace orchidgw::operator_file {
 
+// Fills `to` from the node of the section and adds what is wrong to `faults`.
 void read_levels(const YamlNode& node, std::vector<Fault>& faults, service_level::LevelFile& to);
 
 }  // namespace orchidgw::operator_file
--- a/src/operator_file/loader.cpp
+++ b/src/operator_file/loader.cpp
@@ -14,13 +14,14 @@
 namespace orchidgw::operator_file {
 namespace {
 
-constexpr int kMaxReads = 5;  // of a file that changes meanwhile
+constexpr int kMaxReads = 5;  // of a file that changes while it is read
 
 [[noreturn]] void fail(const std::string& path, const std::string& why) {
   throw std::runtime_error(path + ": " + why);
 }
 
-// Guards against a start or a reload that ends because the system lacked a descriptor for a moment.
+// Throws SystemCallError for a transient error, for example a lack of descriptors, so that a start or a
+// reload is tried again and doesn't fail for good.
 [[noreturn]] void throw_system_error(const std::string& path) {
   const SystemCallError error(SystemCall::kFile, errno, path);
   if (error.may_pass()) throw error;
@@ -49,7 +50,7 @@
 
 std::string load_file(const std::string& path, std::size_t max_bytes) {
   for (int round = 0; round < kMaxReads; ++round) {
-    // Not blocking: a pipe of that name must not hold up the loop.
+    // O_NONBLOCK: opening a named pipe must not block the event loop.
     const Descriptor file(::open(path.c_str(), O_RDONLY | O_CLOEXEC | O_NONBLOCK));
     if (file.get() < 0) throw_system_error(path);
     struct stat before {};
@@ -59,7 +60,7 @@
     if (!S_ISREG(before.st_mode)) fail(path, "not a plain file");
     std::string text = read_all(path, file.get(), max_bytes);
     if (::fstat(file.get(), &after) != 0) throw_system_error(path);
-    if (::stat(path.c_str(), &at_path) != 0) continue;  // between two files: look again
+    if (::stat(path.c_str(), &at_path) != 0) continue;  // the file is just being replaced
     if (same_file_state(before, after) && same_file_state(after, at_path)) return text;
   }
   fail(path, "it changed each time while it was read");
--- a/src/operator_file/operator_file.h
+++ b/src/operator_file/operator_file.h
@@ -1,4 +1,5 @@
-// The operators' file: limits by route, and the log. Read from YAML strictly; every fault names its line.
+// The operator file: limits by route, service levels and log settings. The YAML is read strictly; each fault
+// has its line and column.
 #pragma once
 
 #include <map>
@@ -12,15 +13,15 @@
 namespace orchidgw::operator_file {
 
 inline constexpr int kFormatVersion = 1;
-inline constexpr std::size_t kMaxFaults = 100;  // reported of one file
+inline constexpr std::size_t kMaxFaults = 100;  // reported for one file
 
-// What a file may have at the most: a deployment's memory sets it.
+// Upper bounds on a file. Controllers derive smaller ones from their memory limit.
 struct FileSizeLimits {
   std::size_t bytes = std::size_t{1024} * 1024;
   std::size_t nodes = 400'000;
 };
 
-// What the file says of the log; empty: as the command line and the environment say.
+// The log settings of the file. Empty values are not set in the file; flags and environment precede the file.
 struct LogChoice {
   std::string level;
   std::string format;
@@ -35,19 +36,20 @@
 
 struct OperatorFileResult {
   OperatorFile file;
-  std::vector<limits::Fault> faults;  // none: the file may be checked
+  std::vector<limits::Fault> faults;  // empty: `file` is well-formed; its values are checked elsewhere
 };
 
-// Reads a text, of whatever form: it never throws on one.
+// Reads the text of an operator file. Reports bad input as faults and never throws because of it.
 OperatorFileResult read_operator_file(std::string_view text, const FileSizeLimits& size_limits = {});
 
-// The file at `path`, whole and from one moment. Guards against a file that is replaced or written to while
-// it is read: such a reading is begun anew, a few times, then refused. Throws std::runtime_error with a clear
-// reason.
-// Of a larger one than `max_bytes` some more than that is read.
+// Returns a consistent copy of the file at `path`. A file that is replaced or written to while it is read is
+// read again, a few times. Throws std::runtime_error with the reason if the file keeps changing, can't be
+// read or is not a regular file; throws SystemCallError if the cause may pass, for example a lack of
+// descriptors. Reading stops soon after `max_bytes`, so that the caller sees that the file is too large.
 std::string load_file(const std::string& path, std::size_t max_bytes = FileSizeLimits().bytes);
 
-// "FILE:LINE:COLUMN: PATH: why"; a file without a line has the fault as a whole.
+// Formats a fault as "FILE:LINE:COLUMN: PATH: why", without line and column if the fault is in no single
+// line.
 std::string fault_line(const std::string& path, const limits::Fault& fault);
 
 }  // namespace orchidgw::operator_file
--- a/src/operator_file/reader.cpp
+++ b/src/operator_file/reader.cpp
@@ -9,7 +9,7 @@
 namespace orchidgw::operator_file {
 namespace {
 
-using namespace limits;  // the values that a file states
+using namespace limits;  // types of the values in the file
 
 constexpr int kMaxCount = 1'000'000;
 constexpr std::pair<const char*, OutcomeKind> kOutcomeNames[] = {
@@ -250,7 +250,7 @@
     to = {Rate{per_second->value, burst ? burst->value : 1, fleet}, node.place};
   }
 
-  // Whether it holds for all controllers of the fleet together.
+  // Returns true if the limit applies to all controllers of the fleet together.
   bool read_scope(Fields& fields) { return fields.is_alternative("scope", "controller", "fleet"); }
 
   void read_retries(const YamlNode& node, const std::string& path, Maybe<RetryShare>& to) {
--- a/src/operator_file/yaml_tree.cpp
+++ b/src/operator_file/yaml_tree.cpp
@@ -14,14 +14,14 @@
 
 Place place_of(const YAML::Mark& mark) { return {mark.line + 1, mark.column + 1}; }
 
-// Stops the parser: what follows could only mislead.
+// Thrown to stop the parser: faults found after this one could only mislead.
 struct ParseStopped {};
 
-// Reads a text where it stands.
+// Reads from a text without copying it. The text must outlive the buffer.
 class TextBuffer final : public std::streambuf {
  public:
   explicit TextBuffer(std::string_view text) {
-    char* begin = const_cast<char*>(text.data());  // a get area is never written to
+    char* begin = const_cast<char*>(text.data());  // the stream never writes to its get area
     setg(begin, begin, begin + text.size());
   }
 };
@@ -63,7 +63,7 @@
  private:
   struct OpenNode {
     YamlNode node;
-    YamlNode key;  // of a map: the one whose value comes next
+    YamlNode key;  // in a map: the key whose value comes next
     std::unordered_set<std::string> keys;
     bool has_key = false;
   };
@@ -73,7 +73,7 @@
     throw ParseStopped{};
   }
 
-  // Guards against anchors that expand without end, and tags that change what a value is.
+  // Rejects anchors, which could expand without bound, and tags, which change the type of a value.
   YamlNode node_at(const YAML::Mark& mark, YamlNode::Kind kind, const std::string& tag,
                    YAML::anchor_t anchor) {
     if (anchor != 0) stop(mark, "anchors are not taken");
@@ -137,7 +137,7 @@
   return place;
 }
 
-// The first byte that is no UTF-8 (RFC 3629) or no text; npos: all is well.
+// The position of the first byte that is not valid UTF-8 (RFC 3629) or is a control character; npos: none.
 std::size_t first_bad_byte(std::string_view text) {
   std::size_t i = 0;
   while (i < text.size()) {
@@ -162,7 +162,7 @@
   return std::string_view::npos;
 }
 
-// Guards against a file that is read while it is being written: a part of one may be whole YAML too.
+// Detects a file that is read while it is being written: the first part of a file may be valid YAML too.
 bool has_end_marker(std::string_view text) {
   while (!text.empty() && (text.back() == '\n' || text.back() == '\r' || text.back() == ' '))
     text.remove_suffix(1);
--- a/src/operator_file/yaml_tree.h
+++ b/src/operator_file/yaml_tree.h
@@ -1,6 +1,6 @@
-// A YAML text as a tree with the place of each node. Built from yaml-cpp's events, not its node graph, which
-// keeps the last of two equal keys and follows aliases: here both are faults. Bounded in bytes, nodes and
-// depth.
+// A YAML text as a tree with the line and column of each node. It is built from yaml-cpp's events instead of
+// its node graph, because the graph keeps the last of two equal keys and follows aliases: here both are
+// faults. Bytes, nodes and depth are bounded.
 #pragma once
 
 #include <memory>
@@ -24,11 +24,11 @@
 struct YamlNode {
   enum class Kind { kNull, kScalar, kSequence, kMap };
   Kind kind = Kind::kNull;
-  bool quoted = false;  // of kScalar
+  bool quoted = false;  // for kScalar
   Place place;
-  std::string text;             // of kScalar
-  std::vector<YamlNode> items;  // of kSequence
-  std::vector<Member> members;  // of kMap
+  std::string text;             // for kScalar
+  std::vector<YamlNode> items;  // for kSequence
+  std::vector<Member> members;  // for kMap
 };
 
 struct Member {
@@ -36,7 +36,7 @@
   YamlNode value;
 };
 
-// The only document of `text`. Adds what is wrong with its form to `faults`; then the tree is not to be used.
+// Parses `text`, which must hold exactly one document. If it adds to `faults`, the tree must not be used.
 YamlNode parse_yaml(std::string_view text, const FileSizeLimits& size_limits, std::vector<Fault>& faults);
 
 }  // namespace orchidgw::operator_file
--- a/src/thrift/binary.cpp
+++ b/src/thrift/binary.cpp
@@ -3,9 +3,10 @@
 namespace orchidgw::thrift {
 namespace {
 
-constexpr int kMaxDepth = 16;  // of structures inside structures
+constexpr int kMaxDepth = 16;  // of nested values
 
-// The least that an element of a container takes: guards against endless containers in a short frame.
+// The smallest encoded size of an element in bytes. Bounds the element count of a container by the bytes that
+// are left, so that a short frame can't announce a huge container.
 std::size_t min_size(FieldType type) {
   switch (type) {
     case FieldType::kBool:
@@ -66,7 +67,7 @@
   return high << 16 | low;
 }
 
-// A negative length reads as a huge one and fails.
+// A negative length is read as a huge unsigned one, and fails.
 std::string_view Reader::bytes() { return take(u32()); }
 
 void Reader::skip_all(std::uint32_t count, FieldType key, FieldType value, int depth) {
--- a/src/thrift/binary.h
+++ b/src/thrift/binary.h
@@ -1,4 +1,4 @@
-// Thrift's strict binary protocol on byte spans: a bounded reader and a writer. No I/O.
+// Reader and writer for Thrift's strict binary protocol, on byte strings. No I/O.
 #pragma once
 
 #include <cstdint>
@@ -27,7 +27,8 @@
 
 inline constexpr std::uint32_t kVersion1 = 0x80010000U;
 
-// Reads from bytes that outlive it. Once anything is wrong it stays so, and every further read gives nothing.
+// Reads from bytes that must outlive it. After an error ok() stays false and every further read returns 0 or
+// an empty value.
 class Reader {
  public:
   explicit Reader(std::string_view bytes) : rest_(bytes) {}
@@ -36,9 +37,10 @@
   std::uint8_t u8();
   std::uint16_t u16();
   std::uint32_t u32();
-  std::string_view bytes();  // a length and so many bytes
+  std::string_view bytes();  // a 32-bit length and that many bytes; refers to the input
+  // Skips a value of that type. Fails if structures are nested too deeply; `depth` is for its own recursion.
   void skip(FieldType type, int depth = 0);
-  void fail();
+  void fail();  // marks the input as invalid
 
  private:
   std::string_view take(std::size_t n);
@@ -47,6 +49,7 @@
   bool ok_ = true;
 };
 
+// Appends to a string. field() writes a field's header, stop() the end of a structure.
 class Writer {
  public:
   void u8(std::uint8_t value) { out_ += static_cast<char>(value); }
--- a/src/thrift/fleet_codec.cpp
+++ b/src/thrift/fleet_codec.cpp
@@ -13,13 +13,13 @@
 using namespace fleet;
 using namespace promises;
 
-// --- The fields of each structure, once for writing and reading -------------------------------------------
+// The ids and fields of each structure, used for writing and reading.
 
-struct MemberEntry {  // of a ledger
+struct MemberEntry {  // a member in the ledger
   MemberKey key;
   Member member;
 };
-struct KeyHoldEntry {  // of a table of keys
+struct KeyHoldEntry {  // an entry in the table of held keys
   std::string identity;
   Rest rest;
 };
@@ -112,8 +112,6 @@
     return FieldType::kStruct;
 }
 
-// --- Writing ----------------------------------------------------------------------------------------------
-
 template <typename T>
 void write(Writer& writer, const T& value) {
   if constexpr (std::is_same_v<T, bool>) {
@@ -141,9 +139,8 @@
   }
 }
 
-// --- Reading ----------------------------------------------------------------------------------------------
-
-// What an element takes at the least: guards against a count that reserves memory without bytes behind it.
+// The smallest encoded size of an element in bytes. Bounds the count of a list by the bytes that are left, so
+// that a count can't reserve memory without the bytes for it.
 template <typename T>
 constexpr std::size_t min_size() {
   switch (type_of<T>()) {
@@ -189,7 +186,7 @@
             read(reader, field);
           },
           value);
-      if (!known) reader.skip(type);  // of a later version
+      if (!known) reader.skip(type);  // a field of a later version
     }
   }
 }
@@ -223,7 +220,7 @@
   return writer.text();
 }
 
-// A ledger is no sound one if a list in it has another length than its allowances.
+// Returns false if a member's list has not one element for each of the ledger's allowances.
 bool list_lengths_match(const EncodedState& state) {
   const std::size_t n = state.terms.allowances.size();
   for (const MemberEntry& m : state.members)
--- a/src/thrift/fleet_codec.h
+++ b/src/thrift/fleet_codec.h
@@ -1,5 +1,6 @@
-// The messages between controllers, and what keepers store, in Thrift's binary protocol (fleet.thrift in
-// docs/fleet.md). On byte spans; no I/O. Bounded by the bytes: a count that they can't hold is no message.
+// Encodes the messages between controllers and what keepers store, in Thrift's binary protocol (fleet.thrift
+// in docs/fleet.md). Works on byte strings, without I/O. Memory is bounded by the input: a list whose count
+// exceeds what the bytes can hold is rejected.
 #pragma once
 
 #include <optional>
@@ -13,9 +14,11 @@
 
 inline constexpr std::size_t kFleetFrameMost = std::size_t{4} * 1024 * 1024;
 
-std::string write_fleet(const fleet::Message& message);            // with its frame's length
-std::optional<fleet::Message> read_fleet(std::string_view frame);  // without; nothing: it can't be read
+std::string write_fleet(const fleet::Message& message);            // with the length of the frame before it
+std::optional<fleet::Message> read_fleet(std::string_view frame);  // without the length; nullopt: invalid
 
+// What keepers store: entries of their log and snapshots of their state. Reading returns nullopt for bytes
+// that are invalid.
 std::string write_entry(const fleet::Entry& entry);
 std::optional<fleet::Entry> read_entry(std::string_view bytes);
 std::string write_state(const fleet::State& state);
--- a/src/thrift/frame_reader.cpp
+++ b/src/thrift/frame_reader.cpp
@@ -7,7 +7,7 @@
 
 constexpr int kLengthBytes = 4;
 constexpr std::size_t kMaxKeptCapacity =
-    4096;  // of room between frames: one large frame must not cost it for ever
+    4096;  // between frames: one large frame must not hold its memory for good
 
 }  // namespace
 
@@ -25,7 +25,7 @@
     bytes.remove_prefix(1);
     ++length_bytes_;
   }
-  if (length_ == 0 || length_ > max_bytes_) return Result::kBroken;  // a negative length is a huge one
+  if (length_ == 0 || length_ > max_bytes_) return Result::kBroken;  // a negative length reads as a huge one
   const std::size_t n = std::min<std::size_t>(bytes.size(), length_ - body_.size());
   body_.append(bytes.substr(0, n));
   bytes.remove_prefix(n);
--- a/src/thrift/frame_reader.h
+++ b/src/thrift/frame_reader.h
@@ -1,4 +1,4 @@
-// Cuts a stream of bytes, split and merged anywhere, into frames of Thrift's framed transport.
+// Splits a byte stream, which arrives in pieces of any size, into frames of Thrift's framed transport.
 #pragma once
 
 #include <cstdint>
@@ -9,16 +9,19 @@
 
 class FrameReader {
  public:
+  // kMore: more bytes are needed. kFrame: frame() is complete. kBroken: the frame is empty or too large.
   enum class Result { kMore, kFrame, kBroken };
 
+  // `max_bytes`: the largest frame that is accepted, without its length field.
   explicit FrameReader(std::size_t max_bytes) : max_bytes_(max_bytes) {}
 
-  // Takes bytes off the front of `bytes` until a frame is whole or none are left.
+  // Removes bytes from the front of `bytes` until a frame is complete or no bytes are left.
   Result feed(std::string_view& bytes);
 
   const std::string& frame() const { return body_; }  // after kFrame, until the next feed
-  // What a frame that is not whole takes, with the room that its string has beyond it.
+  // Bytes of memory that an incomplete frame takes, including the spare capacity of its string.
   std::size_t gathered() const { return inside() ? body_.capacity() : 0; }
+  // A frame has begun and is not complete.
   bool inside() const { return length_bytes_ > 0 && !complete_; }
 
  private:
--- a/src/thrift/front.cpp
+++ b/src/thrift/front.cpp
@@ -27,8 +27,8 @@
          text.find_first_not_of("0123456789abcdefABCDEF") == std::string::npos;
 }
 
-// What is passed on as a header: short and of visible characters. Guards against heads that an engine can't
-// read.
+// Whether a text can be passed on as a header value: short and of visible ASCII characters, so that engines
+// can parse the head of the request.
 bool is_header_value(const std::string& text) {
   return text.size() <= kMaxHeaderValueBytes &&
          std::all_of(text.begin(), text.end(), [](char c) { return c > 0x20 && c < 0x7f; });
@@ -39,7 +39,8 @@
   return it == fields.end() ? std::string() : it->second;
 }
 
-// A figure that may be absent: 0 then. Nothing if it is no number from 0.
+// The number in a field, 0 if the field is absent or empty; nullopt if it is not a number from 0 to the
+// maximum.
 std::optional<double> number_or_zero(const TextMap& fields, std::string_view key) {
   const std::string text = value_in(fields, key);
   if (text.empty()) return 0.0;
@@ -48,7 +49,7 @@
   return value;
 }
 
-// Fills `call` with the request, or with what is wrong with it.
+// Sets `call.request`, or `call.why` if the request is invalid.
 void read_request(const TextMap& fields, std::string_view body, FrontCall& call) {
   const auto reject = [&](const char* why) { call.why = why; };
   core::ClientRequest request;
@@ -137,7 +138,7 @@
   return framed(writer);
 }
 
-// What follows the body of an `Answer` that is the result of a method.
+// Writes the rest of a method's result after the field `body` of its `Answer`.
 void end_answer(Writer& writer, bool good) {
   writer.field(FieldType::kMap, 2);
   writer.text_map({});
--- a/src/thrift/front.h
+++ b/src/thrift/front.h
@@ -1,4 +1,4 @@
-// The clients' service `Front`: its calls read into neutral terms, its answers written. No I/O.
+// The Thrift service `Front`, which clients call: decodes its calls and encodes its answers. No I/O.
 #pragma once
 
 #include <cstdint>
@@ -10,26 +10,29 @@
 
 namespace orchidgw::thrift {
 
-// One message of a client.
+// One message from a client.
 struct FrontCall {
   enum class Kind { kInvoke, kAbort, kPing, kUnknown };
   Kind kind = Kind::kUnknown;
   std::int32_t sequence = 0;
-  std::string name;                            // of the method
-  bool wants_answer = true;                    // not a oneway message
-  std::optional<core::ClientRequest> request;  // of kInvoke, if it can be used
-  std::string why;                             // else: what is wrong with it
-  std::int32_t aborted = 0;                    // of kAbort: the sequence number that is given up
+  std::string name;                            // name of the method
+  bool wants_answer = true;                    // false for a oneway message
+  std::optional<core::ClientRequest> request;  // for kInvoke, if it is valid
+  std::string why;                             // for kInvoke, if it is invalid: what is wrong with it
+  std::int32_t aborted = 0;                    // for kAbort: sequence number of the request to abort
 };
 
-// Nothing if the frame can't be read: the connection has lost its place.
+// Decodes a frame without its length. Returns nullopt if it is malformed: the connection can't be used
+// further.
 std::optional<FrontCall> read_call(std::string_view frame);
 
-// Answers, as whole frames. A served one is written in two parts round its rows.
+// Encode answers as complete frames. The frame of a served request is served_head(), then `rows` bytes of
+// rows, then served_tail().
 std::string served_head(std::int32_t sequence, std::size_t rows);
 std::string served_tail();
-std::string refused(std::int32_t sequence, std::int64_t cooldown_ms);  // 0: no advice
+std::string refused(std::int32_t sequence, std::int64_t cooldown_ms);  // 0: no retry-after
 std::string failed(std::int32_t sequence, const std::string& why);
+// `good`: the controller is ready to accept queries.
 std::string pong(std::int32_t sequence, bool good);
 
 enum class ApplicationError : std::int32_t { kUnknownMethod = 1, kBadSequence = 4, kInternal = 6 };
--- a/tests/fuzz/operator_file_fuzz.cpp
+++ b/tests/fuzz/operator_file_fuzz.cpp
@@ -1,5 +1,5 @@
-// libFuzzer target: any bytes as an operators' file. What is accepted must be usable: checked, indexed,
-// searched.
+// libFuzzer target: reads any bytes as an operator file. A file that is accepted must pass through the
+// checks, the index of routes and a lookup.
 #include <cstddef>
 #include <cstdint>
 #include <string>
@@ -39,6 +39,6 @@
 extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t* data, std::size_t size) {
   const std::string text(reinterpret_cast<const char*>(data), size);
   check_text(text);
-  check_text("version: 1\n" + text + "\n...\n");  // past the form's first hurdles
+  check_text("version: 1\n" + text + "\n...\n");  // with the version and the end marker that each file needs
   return 0;
 }
--- a/tests/unit/config_test.cpp
+++ b/tests/unit/config_test.cpp
@@ -1,4 +1,5 @@
-// The configuration, the engine list's events and addresses: what is read, and what each broken form says.
+// Tests of the configuration, the engine list's events and addresses, with the error for each kind of bad
+// input.
 #include <gtest/gtest.h>
 
 #include "config/address.h"
@@ -66,7 +67,8 @@
   EXPECT_EQ(parse_error(config()), "none");
 }
 
-// The settings that the module reads for the new deployments: a misspelt word passed for the old shape.
+// Guards against settings of an engine that are misspelt or out of range and are silently read as the
+// default.
 TEST(ControllerConfig, TheShapeOfAnEngineIsChecked) {
   const auto with = [](const std::string& domain) {
     std::string settings = kSettings;
@@ -76,7 +78,7 @@
   EXPECT_EQ(parse_error(with(R"("whenShort":"overcommit",)")), "none");
   EXPECT_EQ(parse_controller_config(with(R"("whenShort":"overcommit",)")).settings.when_short,
             WhenShort::kPage);
-  EXPECT_EQ(parse_controller_config(config()).settings.when_short, WhenShort::kWait);  // as before
+  EXPECT_EQ(parse_controller_config(config()).settings.when_short, WhenShort::kWait);  // the default
   EXPECT_NE(parse_error(with(R"("whenShort":"page",)")).find("domain.whenShort"), std::string::npos);
   EXPECT_NE(parse_error(with(R"("progressPace":-5,)")).find("domain.progressPace"), std::string::npos);
   EXPECT_NE(parse_error(with(R"("kindMemoryMb":[-1],)")).find("domain.sizeCores"), std::string::npos);
--- a/tests/unit/http_test.cpp
+++ b/tests/unit/http_test.cpp
@@ -1,4 +1,4 @@
-// HTTP answers read however they are split or broken; the engines' calls written and read.
+// Tests of the HTTP response parser with split and malformed input, and of the engines' calls and answers.
 #include <Poco/Net/HTTPRequest.h>
 #include <gtest/gtest.h>
 
@@ -18,16 +18,18 @@
 using core::CallKind;
 using Result = ResponseParser::Result;
 
-struct Read {
+// What the parser made of some bytes; `remaining`: those after the response.
+struct ParsedResponse {
   Result result = Result::kMore;
   int status = 0;
   std::string body;
-  std::string left;
+  std::string remaining;
 };
 
-Read read(const std::string& bytes, std::size_t step, std::size_t body_most = 6000) {
+// Feeds `bytes` in pieces of `step` bytes.
+ParsedResponse parse_in_steps(const std::string& bytes, std::size_t step, std::size_t body_most = 6000) {
   ResponseParser parser(body_most);
-  Read out;
+  ParsedResponse out;
   for (std::size_t at = 0; at < bytes.size() && out.result == Result::kMore; at += step) {
     std::string_view part = std::string_view(bytes).substr(at, step);
     while (true) {
@@ -36,42 +38,42 @@
       out.body += parser.piece();
     }
     if (out.result == Result::kDone)
-      out.left = std::string(part) + bytes.substr(std::min(at + step, bytes.size()));
+      out.remaining = std::string(part) + bytes.substr(std::min(at + step, bytes.size()));
   }
   out.status = parser.head().status;
   return out;
 }
 
-const std::string kOk =
+const std::string kOkResponse =
     "HTTP/1.1 200 OK\r\nContent-Length: 6\r\nX-Pages: 2\r\nX-Cost-Ms: 812.5\r\nX-Needed-Mb: "
     "90\r\n\r\na\tb\tc\n";
 
 TEST(ResponseParser, ReadsAnAnswerHoweverItIsSplit) {
-  for (std::size_t step = 1; step <= kOk.size(); ++step) {
-    const Read r = read(kOk, step);
+  for (std::size_t step = 1; step <= kOkResponse.size(); ++step) {
+    const ParsedResponse r = parse_in_steps(kOkResponse, step);
     ASSERT_EQ(r.result, Result::kDone) << step;
     EXPECT_EQ(r.status, 200);
     EXPECT_EQ(r.body, "a\tb\tc\n");
-    EXPECT_TRUE(r.left.empty());
+    EXPECT_TRUE(r.remaining.empty());
   }
 }
 
 TEST(ResponseParser, LeavesWhatComesBehindAnAnswer) {
-  EXPECT_EQ(read(kOk + "HTTP/1.1", kOk.size() + 8).left, "HTTP/1.1");
+  EXPECT_EQ(parse_in_steps(kOkResponse + "HTTP/1.1", kOkResponse.size() + 8).remaining, "HTTP/1.1");
 }
 
 TEST(ResponseParser, EveryTruncationWantsMore) {
-  for (std::size_t n = 0; n < kOk.size(); ++n)
-    EXPECT_EQ(read(kOk.substr(0, n), 7).result, Result::kMore) << n;
+  for (std::size_t n = 0; n < kOkResponse.size(); ++n)
+    EXPECT_EQ(parse_in_steps(kOkResponse.substr(0, n), 7).result, Result::kMore) << n;
 }
 
 TEST(ResponseParser, ReadsAnswersWithoutABody) {
-  EXPECT_EQ(read("HTTP/1.1 204 No Content\r\n\r\n", 5).result, Result::kDone);
-  EXPECT_EQ(read("HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n", 5).result, Result::kDone);
+  EXPECT_EQ(parse_in_steps("HTTP/1.1 204 No Content\r\n\r\n", 5).result, Result::kDone);
+  EXPECT_EQ(parse_in_steps("HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n", 5).result, Result::kDone);
 }
 
 TEST(ResponseParser, AnInterimAnswerIsPassedOver) {
-  const Read r = read("HTTP/1.1 100 Continue\r\n\r\n" + kOk, 9);
+  const ParsedResponse r = parse_in_steps("HTTP/1.1 100 Continue\r\n\r\n" + kOkResponse, 9);
   EXPECT_EQ(r.result, Result::kDone);
   EXPECT_EQ(r.status, 200);
 }
@@ -100,11 +102,11 @@
   };
   for (const auto& bytes : bad) {
     for (const std::size_t step : {std::size_t{1}, std::size_t{16}, bytes.size()})
-      EXPECT_EQ(read(bytes, step).result, Result::kBroken) << bytes.substr(0, 60);
+      EXPECT_EQ(parse_in_steps(bytes, step).result, Result::kBroken) << bytes.substr(0, 60);
   }
   std::string many = line;
   for (int i = 0; i < 70; ++i) many.append("H").append(std::to_string(i)).append(": x\r\n");
-  EXPECT_EQ(read(many, 11).result, Result::kBroken);
+  EXPECT_EQ(parse_in_steps(many, 11).result, Result::kBroken);
 }
 
 TEST(ResponseParser, KnowsWhetherTheConnectionStays) {
@@ -122,7 +124,7 @@
 TEST(ResponseParser, IsUsedAgainAfterReset) {
   ResponseParser parser(6000);
   for (int i = 0; i < 3; ++i) {
-    std::string_view bytes = kOk;
+    std::string_view bytes = kOkResponse;
     while (parser.feed(bytes) == Result::kBody) {
     }
     EXPECT_EQ(parser.head().status, 200);
@@ -135,9 +137,9 @@
 TEST(ResponseParser, MutatedInputDoesNoHarm) {
   std::mt19937 random(4406);
   for (int round = 0; round < 20000; ++round) {
-    std::string bytes = kOk;
+    std::string bytes = kOkResponse;
     for (int i = 0; i < 3; ++i) bytes[random() % bytes.size()] = static_cast<char>(random());
-    const Read r = read(bytes, 1 + random() % bytes.size());
+    const ParsedResponse r = parse_in_steps(bytes, 1 + random() % bytes.size());
     EXPECT_LE(r.body.size(), 6000U);
   }
 }
@@ -154,11 +156,11 @@
   return call;
 }
 
-// A second opinion on what we write: POCO's own parser.
-Poco::Net::HTTPRequest parsed(const std::string& text, std::string& body) {
+// Parses a written request with POCO, independently of our own code.
+Poco::Net::HTTPRequest parse_with_poco(const std::string& text, std::string& body) {
   std::istringstream in(text);
   Poco::Net::HTTPRequest request;
-  request.read(in);
+  request.parse_in_steps(in);
   body.assign(std::istreambuf_iterator<char>(in), {});
   return request;
 }
@@ -169,7 +171,7 @@
   call.grant_mb = 96.7;
   call.priority = 3;
   std::string body;
-  const auto request = parsed(write_call(call, 1'000'000), body);
+  const auto request = parse_with_poco(write_call(call, 1'000'000), body);
   EXPECT_EQ(request.getMethod(), "POST");
   EXPECT_EQ(request.getURI(), "/v2/q");
   EXPECT_EQ(request.getHost(), "127.0.0.5:7001");
@@ -185,23 +187,25 @@
 
 TEST(EngineCalls, FieldsThatSayNothingAreLeftOut) {
   std::string body;
-  const auto request = parsed(write_call(call_of(CallKind::kStart), 9'000'000), body);
+  const auto request = parse_with_poco(write_call(call_of(CallKind::kStart), 9'000'000), body);
   EXPECT_FALSE(request.has("Call-Once"));
   EXPECT_FALSE(request.has("X-Memory-Mb"));
   EXPECT_FALSE(request.has("X-Priority"));
-  EXPECT_EQ(request.get("Call-Ms"), "1");  // late already: the engine says that it is over
+  EXPECT_EQ(request.get("Call-Ms"), "1");  // past its deadline: the engine reports it as expired
 }
 
 TEST(EngineCalls, TheOtherCalls) {
   std::string body;
-  EXPECT_EQ(parsed(write_call(call_of(CallKind::kNews), 0), body).getURI(), "/v2/q/9b1f03aa5c7e2d41/0");
-  EXPECT_EQ(parsed(write_call(call_of(CallKind::kPage), 0), body).getURI(), "/v2/q/9b1f03aa5c7e2d41/3");
-  const auto give_up = parsed(write_call(call_of(CallKind::kGiveUp), 0), body);
+  EXPECT_EQ(parse_with_poco(write_call(call_of(CallKind::kNews), 0), body).getURI(),
+            "/v2/q/9b1f03aa5c7e2d41/0");
+  EXPECT_EQ(parse_with_poco(write_call(call_of(CallKind::kPage), 0), body).getURI(),
+            "/v2/q/9b1f03aa5c7e2d41/3");
+  const auto give_up = parse_with_poco(write_call(call_of(CallKind::kGiveUp), 0), body);
   EXPECT_EQ(give_up.getMethod(), "DELETE");
   EXPECT_EQ(give_up.getURI(), "/v2/q/9b1f03aa5c7e2d41");
   core::StartCall priority = call_of(CallKind::kPriority);
   priority.priority = 2;
-  const auto put = parsed(write_call(priority, 0), body);
+  const auto put = parse_with_poco(write_call(priority, 0), body);
   EXPECT_EQ(put.getMethod(), "PUT");
   EXPECT_EQ(put.getContentLength(), 1);
   EXPECT_EQ(body, "2");
@@ -270,7 +274,7 @@
   EXPECT_FALSE(a->told_memory_mb.has_value());
 }
 
-// Guards against noise and cut rows under a head that can be read.
+// Guards against noise and truncated rows behind a response head that is valid.
 TEST(RowCheck, TakesWholeRowsOnly) {
   const auto whole = [](const std::vector<std::string>& pieces) {
     RowCheck check;
@@ -291,7 +295,7 @@
 
 TEST(ChangeLogCalls, AsksForLaterEvents) {
   std::string body;
-  const auto request = parsed(write_changes_call({"127.0.0.2", 9092}, 41, 500'000), body);
+  const auto request = parse_with_poco(write_changes_call({"127.0.0.2", 9092}, 41, 500'000), body);
   EXPECT_EQ(request.getURI(), "/changes?since=41&timeout=500");
   EXPECT_EQ(request.getHost(), "127.0.0.2:9092");
 }
--- a/tests/unit/thrift_test.cpp
+++ b/tests/unit/thrift_test.cpp
@@ -1,4 +1,4 @@
-// Framing, the strict binary protocol and the service `Front`, with libthrift as a second opinion.
+// Tests of framing, the strict binary protocol and the service `Front`, with libthrift as the other side.
 #include <gtest/gtest.h>
 #include <thrift/TApplicationException.h>
 #include <thrift/protocol/TBinaryProtocol.h>
@@ -32,10 +32,10 @@
 
 using Fields = std::map<std::string, std::string>;
 
-const Fields kGood = {{"service", "report"}, {"ref", "9b1f03aa5c7e2d41"}, {"allow", "1500"},
-                      {"project", "acme"},   {"effort", "820.0"},         {"mem", "96"}};
+const Fields kValidFields = {{"service", "report"}, {"ref", "9b1f03aa5c7e2d41"}, {"allow", "1500"},
+                             {"project", "acme"},   {"effort", "820.0"},         {"mem", "96"}};
 
-// Messages as libthrift writes them, strict.
+// A message written by libthrift in its strict mode.
 class Message {
  public:
   Message() : buffer_(std::make_shared<TMemoryBuffer>()), out_(buffer_) { out_.setStrict(true, true); }
@@ -68,13 +68,13 @@
 }
 
 Fields with(const std::string& key, const std::string& value) {
-  Fields fields = kGood;
+  Fields fields = kValidFields;
   fields[key] = value;
   return fields;
 }
 
 Fields without(const std::string& key) {
-  Fields fields = kGood;
+  Fields fields = kValidFields;
   fields.erase(key);
   return fields;
 }
@@ -123,7 +123,7 @@
 }
 
 TEST(Front, ReadsARequestThatLibthriftWrote) {
-  const auto call = read_call(invoke(kGood, "select 1", 9));
+  const auto call = read_call(invoke(kValidFields, "select 1", 9));
   ASSERT_TRUE(call && call->request);
   EXPECT_EQ(call->kind, FrontCall::Kind::kInvoke);
   EXPECT_EQ(call->sequence, 9);
@@ -215,7 +215,7 @@
     m.out().writeFieldStop();
   }
   m.out().writeFieldBegin("fields", T_MAP, 1);
-  m.text_map(kGood);
+  m.text_map(kValidFields);
   m.out().writeFieldStop();
   const auto call = read_call(m.bytes());
   ASSERT_TRUE(call.has_value());
@@ -233,7 +233,7 @@
 }
 
 TEST(Front, RefusesOtherVersionsAndRepliesAsCalls) {
-  std::string bytes = invoke(kGood, "s");
+  std::string bytes = invoke(kValidFields, "s");
   bytes[1] = 2;
   EXPECT_FALSE(read_call(bytes).has_value());
   Message old;
@@ -248,13 +248,13 @@
 }
 
 TEST(Front, EveryTruncationIsRefused) {
-  const std::string whole = invoke(kGood, "select 1");
+  const std::string whole = invoke(kValidFields, "select 1");
   for (std::size_t n = 0; n < whole.size(); ++n)
     EXPECT_FALSE(read_call(std::string_view(whole).substr(0, n)).has_value()) << n;
 }
 
 TEST(Front, MutatedInputDoesNoHarm) {
-  const std::string whole = invoke(kGood, "select 1");
+  const std::string whole = invoke(kValidFields, "select 1");
   std::mt19937 random(20261201);
   for (int round = 0; round < 20000; ++round) {
     std::string bytes = whole;
@@ -279,7 +279,7 @@
   EXPECT_FALSE(read_call(deep.text()).has_value());
 }
 
-// Reads our answers with libthrift.
+// Decodes an answer of ours with libthrift.
 class Answer {
  public:
   explicit Answer(const std::string& frame) {
