--- a/tests/unit/config_test.cpp
+++ b/tests/unit/config_test.cpp
@@ -67,8 +67,7 @@
   EXPECT_EQ(parse_error(config()), "none");
 }
 
-// Guards against settings of an engine that are misspelt or out of range and are silently read as the
-// default.
+// Guards against a misspelt word that is read as the default, and against values out of range.
 TEST(ControllerConfig, TheShapeOfAnEngineIsChecked) {
   const auto with = [](const std::string& domain) {
     std::string settings = kSettings;
--- a/tests/unit/http_test.cpp
+++ b/tests/unit/http_test.cpp
@@ -160,7 +160,7 @@
 Poco::Net::HTTPRequest parse_with_poco(const std::string& text, std::string& body) {
   std::istringstream in(text);
   Poco::Net::HTTPRequest request;
-  request.parse_in_steps(in);
+  request.read(in);
   body.assign(std::istreambuf_iterator<char>(in), {});
   return request;
 }
