--- a/src/thrift/frame_reader.cpp
+++ b/src/thrift/frame_reader.cpp
@@ -6,8 +6,8 @@
 namespace {
 
 constexpr int kLengthBytes = 4;
-constexpr std::size_t kMaxKeptCapacity =
-    4096;  // between frames: one large frame must not hold its memory for good
+// Capacity that is kept between frames: one large frame must not hold its memory for good.
+constexpr std::size_t kMaxKeptCapacity = 4096;
 
 }  // namespace
 
