--- a/src/http/engine_calls.cpp
+++ b/src/http/engine_calls.cpp
@@ -16,7 +16,7 @@
 constexpr double kMaxReportedValue = 1e12;
 constexpr const char* kPath = "/v2/q";
 
-void add_header(std::string& out, const char* name, const std::string& value) {
+void header(std::string& out, const char* name, const std::string& value) {
   out += name;
   out += ": ";
   out += value;
@@ -28,12 +28,12 @@
   out += ' ';
   out += path;
   out += " HTTP/1.1\r\n";
-  add_header(out, "Host", to.host + ":" + std::to_string(to.port));
+  header(out, "Host", to.host + ":" + std::to_string(to.port));
   return out;
 }
 
 std::string with_body(std::string head, const std::string& body) {
-  add_header(head, "Content-Length", std::to_string(body.size()));
+  header(head, "Content-Length", std::to_string(body.size()));
   head += "\r\n";
   head += body;
   return head;
@@ -41,13 +41,13 @@
 
 std::string write_start(const core::StartCall& call, TimeUs now) {
   std::string out = request_line("POST", kPath, call.address);
-  add_header(out, "Call-Id", call.reference);
-  add_header(out, "Call-Kind", call.class_name);
-  add_header(out, "Call-Ms", std::to_string(std::max<TimeUs>((call.stop_at - now) / kUsPerMs, 1)));
-  if (!call.idempotency_key.empty()) add_header(out, "Call-Once", call.idempotency_key);
+  header(out, "Call-Id", call.reference);
+  header(out, "Call-Kind", call.class_name);
+  header(out, "Call-Ms", std::to_string(std::max<TimeUs>((call.stop_at - now) / kUsPerMs, 1)));
+  if (!call.idempotency_key.empty()) header(out, "Call-Once", call.idempotency_key);
   const auto grant = static_cast<std::int64_t>(std::floor(call.grant_mb));
-  if (grant > 0) add_header(out, "X-Memory-Mb", std::to_string(grant));
-  if (call.priority != 1) add_header(out, "X-Priority", std::to_string(call.priority));
+  if (grant > 0) header(out, "X-Memory-Mb", std::to_string(grant));
+  if (call.priority != 1) header(out, "X-Priority", std::to_string(call.priority));
   return with_body(out, call.statement);
 }
 
