--- a/tests/faults/fault_library.cpp
+++ b/tests/faults/fault_library.cpp
@@ -1,5 +1,6 @@
-// Preloaded into controller processes by the tests: steps their wall clock and fails their system calls.
-// Calls the kernel directly, so that it works before the C library and a sanitizer's interceptors are set up.
+// Preloaded into controller processes by the tests: steps their wall clock and makes their system calls fail.
+// It calls the kernel directly, so that it works before the C library and a sanitizer's interceptors are set
+// up.
 #include <fcntl.h>
 #include <sys/epoll.h>
 #include <sys/eventfd.h>
@@ -28,7 +29,7 @@
 constexpr std::int64_t kUsPerSecond = 1'000'000;
 constexpr std::int64_t kNsPerUs = 1000;
 constexpr std::int64_t kUsPerMs = 1000;
-constexpr std::uint64_t kMillion = 1'000'000;
+constexpr std::uint64_t kRateScale = 1'000'000;
 
 struct WallStep {
   std::int64_t by_us = 0;
@@ -46,33 +47,34 @@
   if (path == nullptr) return nullptr;
   const int fd = static_cast<int>(::syscall(SYS_openat, AT_FDCWD, path, O_RDWR | O_CLOEXEC));
   if (fd < 0) return nullptr;
-  void* at = ::mmap(nullptr, sizeof(FaultPage), PROT_READ | PROT_WRITE, MAP_SHARED, fd, 0);
+  void* address = ::mmap(nullptr, sizeof(FaultPage), PROT_READ | PROT_WRITE, MAP_SHARED, fd, 0);
   ::close(fd);
-  return at == MAP_FAILED ? nullptr : static_cast<FaultPage*>(at);
+  return address == MAP_FAILED ? nullptr : static_cast<FaultPage*>(address);
 }
 
+// Null: the process was started without a page.
 FaultPage* page() {
   static FaultPage* const mapped = map_page();
   return mapped;
 }
 
-WallStep read_step() {
+WallStep read_wall_step() {
   const char* text = std::getenv(kWallStepVariable);
   if (text == nullptr) return {};
   char* end = nullptr;
-  const std::int64_t by = std::strtoll(text, &end, 10);
+  const std::int64_t by_us = std::strtoll(text, &end, 10);
   const std::int64_t after_ms = *end == '@' ? std::strtoll(end + 1, nullptr, 10) : 0;
-  return {by, monotonic_us() + after_ms * kUsPerMs};
+  return {by_us, monotonic_us() + after_ms * kUsPerMs};
 }
 
 std::int64_t wall_offset_us() {
-  static const WallStep step = read_step();
+  static const WallStep step = read_wall_step();
   std::int64_t offset = page() == nullptr ? 0 : page()->wall_offset_us.load();
   if (step.by_us != 0 && monotonic_us() >= step.at_us) offset += step.by_us;
   return offset;
 }
 
-// A sequence of its own in each process, the same for the same seed and calls.
+// SplitMix64. Each process has its own sequence, the same for the same seed and the same calls.
 std::uint64_t next_random() {
   static std::atomic<std::uint64_t> state{page()->seed.load() * 0x9e3779b97f4a7c15ULL};
   std::uint64_t x = state.fetch_add(0x9e3779b97f4a7c15ULL) + 0x9e3779b97f4a7c15ULL;
@@ -81,11 +83,12 @@
   return x ^ (x >> 31);
 }
 
-bool strikes(CallFault fault) {
+// Whether this call has to fail; counts it then.
+bool inject(CallFault fault) {
   if (page() == nullptr) return false;
   const auto index = static_cast<std::size_t>(fault);
   const std::uint32_t rate = page()->per_million[index].load();
-  if (rate == 0 || next_random() % kMillion >= rate) return false;
+  if (rate == 0 || next_random() % kRateScale >= rate) return false;
   page()->made[index].fetch_add(1);
   return true;
 }
@@ -95,31 +98,31 @@
   return -1;
 }
 
-bool interrupted() {
-  if (!strikes(CallFault::kInterrupted)) return false;
+bool inject_interrupt() {
+  if (!inject(CallFault::kInterrupted)) return false;
   errno = EINTR;
   return true;
 }
 
-std::size_t shortened(std::size_t size) {
-  if (size < 2 || !strikes(CallFault::kShortTransfer)) return size;
+std::size_t shorten_transfer(std::size_t size) {
+  if (size < 2 || !inject(CallFault::kShortTransfer)) return size;
   return 1 + next_random() % (size - 1);
 }
 
 constexpr int kDescriptorErrors[] = {EMFILE, ENFILE, ENOMEM};
 
-// Descriptors that this process connected itself. A stream that a client began is not broken here: what
-// became of its requests then could not be told from a request that the program lost.
-constexpr std::size_t kDescriptors = 4096;
-std::array<std::atomic<bool>, kDescriptors> connected_here{};
+// Descriptors that this process connected itself. Streams of clients are not broken here: a request that was
+// lost with its stream could not be distinguished from one that the program lost.
+constexpr std::size_t kMaxDescriptors = 4096;
+std::array<std::atomic<bool>, kMaxDescriptors> connected_here{};
 
-void note_connected(int fd, bool here) {
-  if (fd >= 0 && static_cast<std::size_t>(fd) < kDescriptors)
+void set_connected_here(int fd, bool here) {
+  if (fd >= 0 && static_cast<std::size_t>(fd) < kMaxDescriptors)
     connected_here[static_cast<std::size_t>(fd)] = here;
 }
 
-bool was_connected_here(int fd) {
-  return fd >= 0 && static_cast<std::size_t>(fd) < kDescriptors &&
+bool connected_by_this_process(int fd) {
+  return fd >= 0 && static_cast<std::size_t>(fd) < kMaxDescriptors &&
          connected_here[static_cast<std::size_t>(fd)];
 }
 
@@ -161,99 +164,100 @@
   return now.tv_sec;
 }
 
-int epoll_wait(int fd, epoll_event* events, int most, int timeout_ms) {
-  if (orchidgw::faults::interrupted()) return -1;
-  return static_cast<int>(::syscall(SYS_epoll_pwait, fd, events, most, timeout_ms, nullptr, 0));
+int epoll_wait(int fd, epoll_event* events, int max_events, int timeout_ms) {
+  if (orchidgw::faults::inject_interrupt()) return -1;
+  return static_cast<int>(::syscall(SYS_epoll_pwait, fd, events, max_events, timeout_ms, nullptr, 0));
 }
 
-ssize_t recv(int fd, void* into, size_t size, int flags) {
+ssize_t recv(int fd, void* buffer, size_t size, int flags) {
   constexpr int kErrors[] = {ETIMEDOUT, EHOSTUNREACH, ECONNRESET};
-  if (orchidgw::faults::interrupted()) return -1;
-  if (orchidgw::faults::was_connected_here(fd) && orchidgw::faults::strikes(CallFault::kReceiveFails)) {
-    ::shutdown(fd, SHUT_RDWR);  // the other side sees an end as well
+  if (orchidgw::faults::inject_interrupt()) return -1;
+  if (orchidgw::faults::connected_by_this_process(fd) && orchidgw::faults::inject(CallFault::kReceiveFails)) {
+    ::shutdown(fd, SHUT_RDWR);  // the peer sees the end of the stream, too
     return orchidgw::faults::fail_with_one_of(kErrors);
   }
-  return ::syscall(SYS_recvfrom, fd, into, orchidgw::faults::shortened(size), flags, nullptr, nullptr);
+  return ::syscall(SYS_recvfrom, fd, buffer, orchidgw::faults::shorten_transfer(size), flags, nullptr,
+                   nullptr);
 }
 
-ssize_t send(int fd, const void* from, size_t size, int flags) {
-  if (orchidgw::faults::interrupted()) return -1;
-  return ::syscall(SYS_sendto, fd, from, orchidgw::faults::shortened(size), flags, nullptr, 0);
+ssize_t send(int fd, const void* data, size_t size, int flags) {
+  if (orchidgw::faults::inject_interrupt()) return -1;
+  return ::syscall(SYS_sendto, fd, data, orchidgw::faults::shorten_transfer(size), flags, nullptr, 0);
 }
 
 int accept4(int fd, sockaddr* peer, socklen_t* size, int flags) {
   constexpr int kErrors[] = {ECONNABORTED, EMFILE, ENFILE, ENOBUFS, ENOMEM, EPROTO, EPERM};
-  if (orchidgw::faults::interrupted()) return -1;
-  if (orchidgw::faults::strikes(CallFault::kAcceptFails)) return orchidgw::faults::fail_with_one_of(kErrors);
+  if (orchidgw::faults::inject_interrupt()) return -1;
+  if (orchidgw::faults::inject(CallFault::kAcceptFails)) return orchidgw::faults::fail_with_one_of(kErrors);
   const int accepted = static_cast<int>(::syscall(SYS_accept4, fd, peer, size, flags));
-  orchidgw::faults::note_connected(accepted, false);
+  orchidgw::faults::set_connected_here(accepted, false);
   return accepted;
 }
 
-int connect(int fd, const sockaddr* to, socklen_t size) {
+int connect(int fd, const sockaddr* peer, socklen_t size) {
   constexpr int kErrors[] = {EADDRNOTAVAIL, ENETUNREACH, EHOSTUNREACH, ETIMEDOUT, EAGAIN};
-  if (orchidgw::faults::strikes(CallFault::kConnectFails)) return orchidgw::faults::fail_with_one_of(kErrors);
-  orchidgw::faults::note_connected(fd, true);
-  return static_cast<int>(::syscall(SYS_connect, fd, to, size));
+  if (orchidgw::faults::inject(CallFault::kConnectFails)) return orchidgw::faults::fail_with_one_of(kErrors);
+  orchidgw::faults::set_connected_here(fd, true);
+  return static_cast<int>(::syscall(SYS_connect, fd, peer, size));
 }
 
 int socket(int domain, int type, int protocol) noexcept {
   constexpr int kErrors[] = {EMFILE, ENFILE, ENOBUFS, ENOMEM};
-  if (domain == AF_INET && orchidgw::faults::strikes(CallFault::kSocketFails))
+  if (domain == AF_INET && orchidgw::faults::inject(CallFault::kSocketFails))
     return orchidgw::faults::fail_with_one_of(kErrors);
   return static_cast<int>(::syscall(SYS_socket, domain, type, protocol));
 }
 
-int bind(int fd, const sockaddr* at, socklen_t size) noexcept {
+int bind(int fd, const sockaddr* address, socklen_t size) noexcept {
   constexpr int kErrors[] = {ENOMEM, ENOBUFS};
-  if (orchidgw::faults::strikes(CallFault::kBindFails)) return orchidgw::faults::fail_with_one_of(kErrors);
-  return static_cast<int>(::syscall(SYS_bind, fd, at, size));
+  if (orchidgw::faults::inject(CallFault::kBindFails)) return orchidgw::faults::fail_with_one_of(kErrors);
+  return static_cast<int>(::syscall(SYS_bind, fd, address, size));
 }
 
 int listen(int fd, int backlog) noexcept {
   constexpr int kErrors[] = {ENOMEM, ENOBUFS};
-  if (orchidgw::faults::strikes(CallFault::kListenFails)) return orchidgw::faults::fail_with_one_of(kErrors);
+  if (orchidgw::faults::inject(CallFault::kListenFails)) return orchidgw::faults::fail_with_one_of(kErrors);
   return static_cast<int>(::syscall(SYS_listen, fd, backlog));
 }
 
 int epoll_create(int) noexcept {
-  if (orchidgw::faults::strikes(CallFault::kEpollFails))
+  if (orchidgw::faults::inject(CallFault::kEpollFails))
     return orchidgw::faults::fail_with_one_of(orchidgw::faults::kDescriptorErrors);
   return static_cast<int>(::syscall(SYS_epoll_create1, 0));
 }
 
 int eventfd(unsigned count, int flags) noexcept {
-  if (orchidgw::faults::strikes(CallFault::kEventDescriptorFails))
+  if (orchidgw::faults::inject(CallFault::kEventDescriptorFails))
     return orchidgw::faults::fail_with_one_of(orchidgw::faults::kDescriptorErrors);
   return static_cast<int>(::syscall(SYS_eventfd2, count, flags));
 }
 
 int timerfd_create(clockid_t clock, int flags) noexcept {
-  if (orchidgw::faults::strikes(CallFault::kTimerDescriptorFails))
+  if (orchidgw::faults::inject(CallFault::kTimerDescriptorFails))
     return orchidgw::faults::fail_with_one_of(orchidgw::faults::kDescriptorErrors);
   return static_cast<int>(::syscall(SYS_timerfd_create, clock, flags));
 }
 
 int signalfd(int fd, const sigset_t* signals, int flags) noexcept {
   constexpr std::size_t kKernelSetBytes = 8;
-  if (orchidgw::faults::strikes(CallFault::kSignalDescriptorFails))
+  if (orchidgw::faults::inject(CallFault::kSignalDescriptorFails))
     return orchidgw::faults::fail_with_one_of(orchidgw::faults::kDescriptorErrors);
   return static_cast<int>(::syscall(SYS_signalfd4, fd, signals, kKernelSetBytes, flags));
 }
 
 int open(const char* path, int flags, ...) {
-  va_list more;
-  va_start(more, flags);
-  const unsigned mode = (flags & O_CREAT) != 0 ? va_arg(more, unsigned) : 0U;
-  va_end(more);
-  if (orchidgw::faults::strikes(CallFault::kOpenFails))
+  va_list arguments;
+  va_start(arguments, flags);
+  const unsigned mode = (flags & O_CREAT) != 0 ? va_arg(arguments, unsigned) : 0U;
+  va_end(arguments);
+  if (orchidgw::faults::inject(CallFault::kOpenFails))
     return orchidgw::faults::fail_with_one_of(orchidgw::faults::kDescriptorErrors);
   return static_cast<int>(::syscall(SYS_openat, AT_FDCWD, path, flags, mode));
 }
 
 int flock(int fd, int operation) noexcept {
   constexpr int kErrors[] = {EWOULDBLOCK, ENOLCK};
-  if (orchidgw::faults::strikes(CallFault::kLockFails)) return orchidgw::faults::fail_with_one_of(kErrors);
+  if (orchidgw::faults::inject(CallFault::kLockFails)) return orchidgw::faults::fail_with_one_of(kErrors);
   return static_cast<int>(::syscall(SYS_flock, fd, operation));
 }
 
--- a/tests/faults/fault_switch.cpp
+++ b/tests/faults/fault_switch.cpp
@@ -10,19 +10,21 @@
 namespace orchidgw::faults {
 
 std::map<std::string, std::string> preload_environment() {
-  // A sanitized program wants its own runtime first, and else does not start.
+  // The check of the link order is off: a sanitized program would not start with a library loaded before its
+  // sanitizer runtime.
   return {{"LD_PRELOAD", ORCHIDGW_FAULT_LIBRARY}, {"ASAN_OPTIONS", "verify_asan_link_order=0"}};
 }
 
 FaultSwitch::FaultSwitch() {
-  std::string name = (std::filesystem::temp_directory_path() / "orchidgw-faults-XXXXXX").string();
-  const int fd = ::mkstemp(name.data());
-  path_ = name;
-  if (fd < 0 || ::ftruncate(fd, sizeof(FaultPage)) != 0) throw std::runtime_error("no file for faults");
-  void* at = ::mmap(nullptr, sizeof(FaultPage), PROT_READ | PROT_WRITE, MAP_SHARED, fd, 0);
+  std::string file_name = (std::filesystem::temp_directory_path() / "orchidgw-faults-XXXXXX").string();
+  const int fd = ::mkstemp(file_name.data());
+  path_ = file_name;
+  if (fd < 0 || ::ftruncate(fd, sizeof(FaultPage)) != 0)
+    throw std::runtime_error("cannot create the fault page file");
+  void* address = ::mmap(nullptr, sizeof(FaultPage), PROT_READ | PROT_WRITE, MAP_SHARED, fd, 0);
   ::close(fd);
-  if (at == MAP_FAILED) throw std::runtime_error("the file for faults can't be mapped");
-  page_ = new (at) FaultPage;
+  if (address == MAP_FAILED) throw std::runtime_error("cannot map the fault page file");
+  page_ = new (address) FaultPage;
 }
 
 FaultSwitch::~FaultSwitch() {
@@ -31,9 +33,9 @@
 }
 
 std::map<std::string, std::string> FaultSwitch::environment() const {
-  auto all = preload_environment();
-  all[kPageVariable] = path_.string();
-  return all;
+  auto variables = preload_environment();
+  variables[kPageVariable] = path_.string();
+  return variables;
 }
 
 void FaultSwitch::clear_rates() {
--- a/tests/faults/fault_switch.h
+++ b/tests/faults/fault_switch.h
@@ -1,4 +1,4 @@
-// The test's side of the fault library: one process's faults, set while it runs.
+// The test's side of the fault library: controls the faults of one process while it runs.
 #pragma once
 
 #include <filesystem>
@@ -9,26 +9,31 @@
 
 namespace orchidgw::faults {
 
-// What a process needs in its environment to be started with the fault library.
+// The environment variables with which a process is started with the fault library preloaded.
 std::map<std::string, std::string> preload_environment();
 
+// Owns the file of the FaultPage that it shares with the process, and removes it at the end.
 class FaultSwitch {
  public:
-  FaultSwitch();  // no fault is set
+  // No fault is set. Throws std::runtime_error if the shared file cannot be created or mapped.
+  FaultSwitch();
   ~FaultSwitch();
   FaultSwitch(const FaultSwitch&) = delete;
   FaultSwitch& operator=(const FaultSwitch&) = delete;
 
-  // To be added to the environment of the process that this is for.
+  // To be added to the environment of the process under test.
   std::map<std::string, std::string> environment() const;
 
+  // Moves the wall clock on from its present offset; a negative step moves it back.
   void step_wall_clock(std::int64_t by_us) { page_->wall_offset_us += by_us; }
+  // Sets the offset of the wall clock from the real one.
   void set_wall_clock(std::int64_t offset_us) { page_->wall_offset_us = offset_us; }
   void set_seed(std::uint64_t seed) { page_->seed = seed; }
   void set_rate(CallFault fault, std::uint32_t per_million) {
     page_->per_million[static_cast<std::size_t>(fault)] = per_million;
   }
-  void clear_rates();
+  void clear_rates();  // no call fails from now on; the wall clock keeps its offset
+  // How often this fault was injected so far.
   std::uint64_t made(CallFault fault) const { return page_->made[static_cast<std::size_t>(fault)]; }
 
  private:
--- a/tests/integration/change_log_stand_in.cpp
+++ b/tests/integration/change_log_stand_in.cpp
@@ -5,9 +5,10 @@
 namespace orchidgw::integration {
 namespace {
 
-std::size_t number_behind(const std::string& path, const std::string& key) {
-  const auto at = path.find(key + "=");
-  return at == std::string::npos ? 0 : std::stoul(path.substr(at + key.size() + 1));
+// The number that the query string of the path gives for the key; 0 if it has none.
+std::size_t number_in_query(const std::string& path, const std::string& key) {
+  const auto position = path.find(key + "=");
+  return position == std::string::npos ? 0 : std::stoul(path.substr(position + key.size() + 1));
 }
 
 }  // namespace
@@ -36,10 +37,10 @@
 }
 
 HttpReply ChangeLogStandIn::answer(const HttpCall& call) {
-  const std::size_t since = number_behind(call.path, "since");
-  const auto hold = std::chrono::milliseconds(number_behind(call.path, "timeout"));
+  const std::size_t since = number_in_query(call.path, "since");
+  const auto timeout = std::chrono::milliseconds(number_in_query(call.path, "timeout"));
   std::unique_lock lock(mutex_);
-  changed_.wait_for(lock, hold, [&] { return closing_ || down_ || events_.size() + 1 > since; });
+  changed_.wait_for(lock, timeout, [&] { return closing_ || down_ || events_.size() + 1 > since; });
   HttpReply reply;
   if (down_) {
     reply.way = HttpReply::Way::kReset;
--- a/tests/integration/change_log_stand_in.h
+++ b/tests/integration/change_log_stand_in.h
@@ -1,4 +1,5 @@
-// A change log: numbered events, told to who asks for later ones, held back until there are some.
+// A stand-in for the change log, which publishes numbered events of the engine list. A poll for events after a
+// given number is answered once there are some, or when its timeout ends (long polling).
 #pragma once
 
 #include <condition_variable>
@@ -12,12 +13,14 @@
 
 class ChangeLogStandIn {
  public:
-  // The first event is in the configuration: numbers go on from 2.
+  // Event 1 is part of the configuration, so the numbers here start at 2.
   ChangeLogStandIn() : server_([this](const HttpCall& call) { return answer(call); }) {}
   ~ChangeLogStandIn();
 
-  void tell(const std::string& members);  // JSON of the members that changed
-  void set_down(bool down);               // connections are reset, nothing is told
+  // Appends an event with these members: the JSON of those that changed, separated by commas.
+  void tell(const std::string& members);
+  // While it is down, each poll has its connection reset in place of an answer.
+  void set_down(bool down);
   HttpStandIn& server() { return server_; }
   std::string address() const { return server_.address(); }
 
--- a/tests/integration/controller_process.cpp
+++ b/tests/integration/controller_process.cpp
@@ -22,11 +22,11 @@
 namespace orchidgw::integration {
 namespace {
 
-constexpr auto kLongTime = std::chrono::seconds(20);
+constexpr auto kWaitTimeout = std::chrono::seconds(20);
 
-// A loopback address of this process's own. Guards against tests run beside it, whose clients may be given
-// the port between the probe and the controller's start.
-std::string own_host() {
+// A loopback host address derived from the id of this process. On a host address shared with tests that run at
+// the same time, one of their clients could get the port between the probe and the controller's start.
+std::string host_of_this_process() {
   constexpr unsigned kByte = 0xff;
   const auto pid = static_cast<unsigned>(::getpid());
   return "127." + std::to_string(1 + (pid >> 16) % 200) + "." + std::to_string(pid >> 8 & kByte) + "." +
@@ -35,15 +35,15 @@
 
 }  // namespace
 
-// Guards against the port of a process that was killed and is to come back on it: none is given twice.
+// No address is returned twice: a process that was killed may have to start again on its own address.
 std::string free_address() {
   static std::mutex mutex;
-  static std::set<std::string> given;
+  static std::set<std::string> returned;
   const std::lock_guard lock(mutex);
   while (true) {
     Poco::Net::ServerSocket probe;
-    probe.bind(Poco::Net::SocketAddress(own_host() + ":0"), true);
-    if (given.insert(probe.address().toString()).second) return probe.address().toString();
+    probe.bind(Poco::Net::SocketAddress(host_of_this_process() + ":0"), true);
+    if (returned.insert(probe.address().toString()).second) return probe.address().toString();
   }
 }
 
@@ -69,7 +69,7 @@
 
 std::string config_json(const ControllerOptions& options, const std::string& address) {
   std::string members;
-  for (const auto& m : options.members) members += (members.empty() ? "" : ",") + m;
+  for (const auto& one : options.members) members += (members.empty() ? "" : ",") + one;
   return R"({"name":"n0","listen":")" + address +
          R"(","seed":"8c1f30d27a5be964","limits":{"cores":1.0,"memory_mb":)" +
          std::to_string(options.memory_mb) + R"(,"sockets":)" + std::to_string(options.sockets) +
@@ -85,7 +85,8 @@
 
 using Environment = std::map<std::string, std::string>;
 
-// Every controller of a test run has its wall clock stepped where the run's own environment asks for it.
+// If the environment of the test run sets kWallStepVariable, every controller has its wall clock stepped, except
+// those whose test controls the faults itself.
 Environment with_wall_step(Environment environment) {
   const char* step = std::getenv(faults::kWallStepVariable);
   if (step == nullptr || environment.count(faults::kPageVariable) > 0) return environment;
@@ -106,9 +107,9 @@
 }
 
 double cpu_of(pid_t pid) {
-  std::ifstream in("/proc/" + std::to_string(pid) + "/stat");
+  std::ifstream stat("/proc/" + std::to_string(pid) + "/stat");
   std::string text;
-  std::getline(in, text);
+  std::getline(stat, text);
   std::istringstream fields(text.substr(text.rfind(')') + 2));
   std::string skipped;
   for (int i = 0; i < 11; ++i) fields >> skipped;
@@ -137,9 +138,9 @@
   }
   start(environment, options.words);
   if (wait_for_line("listening on")) return;
-  end();  // guards against an abort by the reader's thread that hides why
-  std::cerr << "the controller did not start: " << log()
-            << std::endl;  // a test with threads of its own aborts
+  end();  // before the throw: the destructor of a running reader thread would abort and hide the reason
+  // Also printed: in a test that has threads running, the exception ends in an abort.
+  std::cerr << "the controller did not start: " << log() << std::endl;
   throw std::runtime_error("the controller did not start: " + log());
 }
 
@@ -155,35 +156,35 @@
     ::kill(pid_, SIGKILL);
     wait_exit();
   }
-  read_on();
+  resume_log_reading();
   if (reader_.joinable()) reader_.join();
   if (!directory_.empty()) std::filesystem::remove_all(directory_);
 }
 
 void ControllerProcess::start(const std::map<std::string, std::string>& environment,
                               const std::vector<std::string>& arguments) {
-  int ends[2];
-  if (pipe2(ends, O_CLOEXEC) != 0) throw std::runtime_error("pipe failed");
+  int pipe_ends[2];
+  if (pipe2(pipe_ends, O_CLOEXEC) != 0) throw std::runtime_error("pipe failed");
   posix_spawn_file_actions_t actions;
   posix_spawn_file_actions_init(&actions);
-  posix_spawn_file_actions_adddup2(&actions, ends[1], 2);
-  posix_spawn_file_actions_adddup2(&actions, ends[1], 1);
-  posix_spawn_file_actions_addclosefrom_np(&actions, 3);  // else the stand-ins' ports stay open in there
-  std::vector<std::string> words;
-  for (const auto& [key, value] : with_wall_step(environment)) words.push_back(key + "=" + value);
-  std::vector<char*> env;
-  for (auto& word : words) env.push_back(word.data());
-  env.push_back(nullptr);
+  posix_spawn_file_actions_adddup2(&actions, pipe_ends[1], 2);
+  posix_spawn_file_actions_adddup2(&actions, pipe_ends[1], 1);
+  posix_spawn_file_actions_addclosefrom_np(&actions, 3);  // else the program would keep the stand-ins' ports open
+  std::vector<std::string> variables;
+  for (const auto& [key, value] : with_wall_step(environment)) variables.push_back(key + "=" + value);
+  std::vector<char*> envp;
+  for (auto& variable : variables) envp.push_back(variable.data());
+  envp.push_back(nullptr);
   std::string program = program_.empty() ? ORCHIDGW_PROGRAM : program_;
-  std::vector<std::string> line = arguments;
+  std::vector<std::string> argument_copies = arguments;
   std::vector<char*> argv = {program.data()};
-  for (auto& word : line) argv.push_back(word.data());
+  for (auto& argument : argument_copies) argv.push_back(argument.data());
   argv.push_back(nullptr);
-  const int failed = posix_spawn(&pid_, program.c_str(), &actions, nullptr, argv.data(), env.data());
+  const int failed = posix_spawn(&pid_, program.c_str(), &actions, nullptr, argv.data(), envp.data());
   posix_spawn_file_actions_destroy(&actions);
-  ::close(ends[1]);
-  if (failed != 0) throw std::runtime_error("the controller can't be started");
-  reader_ = std::thread([this, fd = ends[0]] { read_log(fd); });
+  ::close(pipe_ends[1]);
+  if (failed != 0) throw std::runtime_error("cannot start the controller");
+  reader_ = std::thread([this, fd = pipe_ends[0]] { read_log(fd); });
 }
 
 void ControllerProcess::read_log(int fd) {
@@ -191,20 +192,20 @@
   while (true) {
     {
       std::unique_lock lock(mutex_);
-      changed_.wait(lock, [&] { return reading_; });
+      changed_.wait(lock, [&] { return log_reading_; });
     }
-    const ssize_t n = ::read(fd, bytes, sizeof bytes);
-    if (n <= 0) break;
+    const ssize_t size = ::read(fd, bytes, sizeof bytes);
+    if (size <= 0) break;
     {
       const std::lock_guard lock(mutex_);
-      log_.append(bytes, static_cast<std::size_t>(n));
+      log_.append(bytes, static_cast<std::size_t>(size));
       changed_.notify_all();
     }
     if (on_output_) on_output_();
   }
   ::close(fd);
   const std::lock_guard lock(mutex_);
-  over_ = true;
+  output_ended_ = true;
   changed_.notify_all();
 }
 
@@ -232,7 +233,7 @@
   bool reading = false;
   {
     const std::lock_guard lock(mutex_);
-    reading = reading_;
+    reading = log_reading_;
   }
   if (reading) join_reader();
   return exit_code_;
@@ -244,19 +245,19 @@
 
 bool ControllerProcess::wait_for_line(const std::string& part) {
   std::unique_lock lock(mutex_);
-  const auto there = [&] { return log_.find(part) != std::string::npos; };
-  changed_.wait_for(lock, kLongTime, [&] { return there() || over_; });
-  return there();
+  const auto found = [&] { return log_.find(part) != std::string::npos; };
+  changed_.wait_for(lock, kWaitTimeout, [&] { return found() || output_ended_; });
+  return found();
 }
 
-void ControllerProcess::stop_reading() {
+void ControllerProcess::pause_log_reading() {
   const std::lock_guard lock(mutex_);
-  reading_ = false;
+  log_reading_ = false;
 }
 
-void ControllerProcess::read_on() {
+void ControllerProcess::resume_log_reading() {
   const std::lock_guard lock(mutex_);
-  reading_ = true;
+  log_reading_ = true;
   changed_.notify_all();
 }
 
@@ -266,30 +267,30 @@
 }
 
 std::map<std::string, long> ControllerProcess::counters() {
-  const std::string last = "counter engines.connect_time";
+  const std::string last_counter = "counter engines.connect_time";
   std::unique_lock lock(mutex_);
-  const std::size_t from = log_.size();
+  const std::size_t start_size = log_.size();
   signal(SIGUSR1);
-  changed_.wait_for(lock, kLongTime, [&] {
-    const auto at = log_.find(last, from);
-    return at != std::string::npos && log_.find('\n', at) != std::string::npos;
+  changed_.wait_for(lock, kWaitTimeout, [&] {
+    const auto position = log_.find(last_counter, start_size);
+    return position != std::string::npos && log_.find('\size', position) != std::string::npos;
   });
-  std::istringstream in(log_.substr(from));
-  std::map<std::string, long> out;
-  for (std::string line; std::getline(in, line);) {
-    std::istringstream words(line);
-    std::string word;
+  std::istringstream lines(log_.substr(start_size));
+  std::map<std::string, long> values;
+  for (std::string line; std::getline(lines, line);) {
+    std::istringstream fields(line);
+    std::string kind;
     std::string name;
     long value = 0;
-    if (words >> word >> name >> value && word == "counter") out[name] = value;
+    if (fields >> kind >> name >> value && kind == "counter") values[name] = value;
   }
-  return out;
+  return values;
 }
 
-// Asks again until it is so; each answer is an event of the process.
+// No pause between the requests: the time that the process takes to print its counters paces them.
 bool ControllerProcess::wait_for_counter(const std::string& name, long value) {
-  const auto until = std::chrono::steady_clock::now() + kLongTime;
-  while (std::chrono::steady_clock::now() < until) {
+  const auto deadline = std::chrono::steady_clock::now() + kWaitTimeout;
+  while (std::chrono::steady_clock::now() < deadline) {
     if (counters()[name] == value) return true;
   }
   return false;
--- a/tests/integration/controller_process.h
+++ b/tests/integration/controller_process.h
@@ -1,4 +1,5 @@
-// `orchidgw` itself, started with a configuration of the test's and ended with it.
+// A process of the program `orchidgw`, started with a configuration that the test gives, and killed in the
+// destructor if it still runs.
 #pragma once
 
 #include <sys/types.h>
@@ -15,39 +16,42 @@
 
 struct ControllerOptions {
   std::string change_log = "127.0.0.1:1";
-  std::vector<std::string> members;  // JSON of the engines known at the start
+  std::vector<std::string> members;  // JSON of the engines in the configuration's engine list
   int sockets = 1024;
   int memory_mb = 192;
-  std::string program;  // empty: the one that was built with the tests
-  std::string limits;   // the operators' file; empty: none
+  std::string program;  // path; empty: the one that was built with the tests
+  std::string limits;   // text of the operators' file; empty: none
   std::vector<std::string> tenants = {"acme"};
-  std::string settings;  // JSON of the module's settings; empty: the tests' own
-  std::function<std::string(const std::string& listen)> config;  // empty: one of the above
-  std::vector<std::string> words;                                // of the command line
+  std::string settings;  // JSON of the decision module's settings; empty: default ones for tests
+  std::function<std::string(const std::string& listen)> config;  // empty: built from the fields here
+  std::vector<std::string> words;                                // on the command line
   std::string name = "n0";
-  long once_deadline_us = 60'000'000;  // of the tests' own settings: of what must not run twice
-  long connect_timeout_us = 250'000;   // likewise
-  long drain_grace_us = 1'000'000;     // likewise
-  std::function<void()> on_output;     // something was read of its standard error; from a thread of its own
-  std::map<std::string, std::string> environment;  // beside the configuration's
+  long once_deadline_us = 60'000'000;  // in the default settings: of class `once`
+  long connect_timeout_us = 250'000;   // in the default settings
+  long drain_grace_us = 1'000'000;     // in the default settings
+  std::function<void()> on_output;  // called after each read of its output, in the thread that reads it
+  std::map<std::string, std::string> environment;  // besides the variables for the configuration
 };
 
-// A loopback address of this process's own that is free now.
+// A loopback address, HOST:PORT, that was free a moment ago. Its host is derived from the id of this process;
+// the same address is never returned twice.
 std::string free_address();
 
-// BALANCER_CONFIG by those.
+// Text of the configuration file that BALANCER_CONFIG names, made from these options with a free address.
 std::string config_of(const ControllerOptions& options);
 
-// JSON of a list member.
+// JSON of one member of the engine list.
 std::string member(const std::string& id, const std::string& address, const std::string& phase = "in_service",
                    long up_since_ms = 0);
 
-double cpu_of(pid_t pid);  // seconds of a core that a process has used
+double cpu_of(pid_t pid);  // user and system time used so far, in seconds
 
 class ControllerProcess {
  public:
+  // Writes the configuration, starts the program and waits until it listens. Throws std::runtime_error with its
+  // log if it does not.
   explicit ControllerProcess(const ControllerOptions& options);
-  // With this environment only; no configuration of the test's.
+  // Starts the program with this environment only and writes no configuration; does not wait.
   explicit ControllerProcess(const std::map<std::string, std::string>& environment,
                              const std::vector<std::string>& words = {});
   ~ControllerProcess();
@@ -56,18 +60,22 @@
   pid_t pid() const { return pid_; }
   std::string config_path() const { return directory_ + "/config.json"; }
   void signal(int number) const;
-  void configure(const ControllerOptions& options) const;  // writes the file anew; SIGHUP has it read
+  // Rewrites the configuration file. The program reads it again on SIGHUP.
+  void configure(const ControllerOptions& options) const;
   void configure(const std::string& text) const;
   std::string limits_path() const { return directory_ + "/limits.yaml"; }
   void write_limits(const std::string& text) const;    // in place
   void replace_limits(const std::string& text) const;  // by rename
-  int wait_exit();                                     // its exit code, or 128 + signal
-  bool wait_for_line(const std::string& part);         // on its standard error
-  std::string log() const;
-  void join_reader();   // of one that has ended: then its log is whole
-  void stop_reading();  // of its standard error, until read_on
-  void read_on();
-  std::map<std::string, long> counters();  // as SIGUSR1 prints them
+  int wait_exit();                                     // returns its exit code, or 128 + signal
+  // Waits until its output contains this text; false after 20 s, or if the output ends without it.
+  bool wait_for_line(const std::string& part);
+  std::string log() const;  // its standard output and standard error so far
+  void join_reader();       // waits for the end of the output; only once the process has ended
+  // Leaves its output unread until resume_log_reading: the pipe fills up.
+  void pause_log_reading();
+  void resume_log_reading();
+  std::map<std::string, long> counters();  // requests and returns the counters that SIGUSR1 prints
+  // Requests the counters until this one has the value; false after 20 s.
   bool wait_for_counter(const std::string& name, long value);
 
  private:
@@ -84,8 +92,8 @@
   std::thread reader_;
   mutable std::mutex mutex_;
   std::condition_variable changed_;
-  bool over_ = false;  // it writes no more
-  bool reading_ = true;
+  bool output_ended_ = false;
+  bool log_reading_ = true;
   std::string log_;
 };
 
