--- a/tests/integration/change_log_stand_in.h
+++ b/tests/integration/change_log_stand_in.h
@@ -1,5 +1,5 @@
-// A stand-in for the change log, which publishes numbered events of the engine list. A poll for events after a
-// given number is answered once there are some, or when its timeout ends (long polling).
+// A stand-in for the change log, which publishes numbered events of the engine list. A poll for events after
+// a given number is answered once there are some, or when its timeout ends (long polling).
 #pragma once
 
 #include <condition_variable>
--- a/tests/integration/cold_engine_test.cpp
+++ b/tests/integration/cold_engine_test.cpp
@@ -1,5 +1,6 @@
-// Rule 4 over the sum of many processes: one stand-in engine that has just started counts what all of them
-// send it, with uneven traffic, further attempts, and processes that started before it and after it.
+// Rule 4 for the sum of many controllers: an engine in slow start must not get more than its budget from all
+// of them together. One stand-in engine that has just started records what they send it, with uneven traffic,
+// retries, and controllers that started before it and after it.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -21,10 +22,11 @@
 using Clock = std::chrono::system_clock;
 using namespace std::chrono_literals;
 
-constexpr double kCores = 8, kColdFrom = 0.3, kColdForS = 20, kFallMultiple = 2, kWindowS = 1, kWorkS = 0.2;
-constexpr auto kTraffic = 5s;
-constexpr const char* kAnHourAhead = "3600000000@0";
-constexpr const char* kAnHourBehind = "-3600000000@0";
+constexpr double kCores = 8, kSlowStartInitialCapacity = 0.3, kSlowStartS = 20, kOverloadMultiple = 2,
+                 kWindowS = 1, kWorkS = 0.2;
+constexpr auto kTrafficTime = 5s;
+constexpr const char* kStepHourAhead = "3600000000@0";
+constexpr const char* kStepHourBehind = "-3600000000@0";
 
 std::string settings_of(int processes, int self) {
   return R"({"balancers":)" + std::to_string(processes) + R"(,"me":)" + std::to_string(self) +
@@ -43,7 +45,7 @@
   return reply;
 }
 
-HttpReply full() {
+HttpReply not_begun() {
   HttpReply reply;
   reply.status = 503;
   reply.headers = {{"Not-Begun", "1"}};
@@ -52,22 +54,24 @@
 
 class ColdEngine : public ::testing::TestWithParam<int> {
  protected:
+  // Runs GetParam() controllers; with wrong clocks, two thirds of them are an hour ahead or behind.
   void expect_sum_within_budget(bool wrong_clocks);
 
-  // How many calls of mean work the settings allow it at that moment.
+  // How many calls, each of kWorkS, the settings allow the engine within kWindowS at that age.
   double budget(double age_s) const {
-    const double warm = std::clamp(age_s / kColdForS, 0.0, 1.0);
-    return kFallMultiple * kCores * (kColdFrom + (1 - kColdFrom) * warm) * kWindowS / kWorkS;
+    const double warmth = std::clamp(age_s / kSlowStartS, 0.0, 1.0);
+    return kOverloadMultiple * kCores *
+           (kSlowStartInitialCapacity + (1 - kSlowStartInitialCapacity) * warmth) * kWindowS / kWorkS;
   }
 
   std::mutex mutex;
-  std::vector<double> arrivals;  // at the cold engine, seconds after its start
+  std::vector<double> arrivals;  // of calls at the engine in slow start, seconds after its start
   Clock::time_point started;
 };
 
 void ColdEngine::expect_sum_within_budget(bool wrong_clocks) {
   const int processes = GetParam();
-  HttpStandIn cold([this](const HttpCall& call) {
+  HttpStandIn starting_engine([this](const HttpCall& call) {
     if (call.method == "POST") {
       const std::lock_guard lock(mutex);
       arrivals.push_back(std::chrono::duration<double>(Clock::now() - started).count());
@@ -75,45 +79,45 @@
     return served();
   });
   std::atomic<int> posts{0};
-  const auto warm = [&posts](const HttpCall& call) {
-    return call.method == "POST" && ++posts % 5 == 0 ? full() : served();
+  const auto warm_script = [&posts](const HttpCall& call) {
+    return call.method == "POST" && ++posts % 5 == 0 ? not_begun() : served();
   };
-  HttpStandIn first(warm);
-  HttpStandIn second(warm);
+  HttpStandIn first(warm_script);
+  HttpStandIn second(warm_script);
   ChangeLogStandIn log;
   ControllerOptions options;
   options.change_log = log.address();
   options.members = {member("s-1", first.address()), member("s-2", second.address())};
-  std::vector<std::unique_ptr<ControllerProcess>> all;
-  const auto begin = [&] {
-    const int self = static_cast<int>(all.size());
+  std::vector<std::unique_ptr<ControllerProcess>> controllers;
+  const auto start_controller = [&] {
+    const int self = static_cast<int>(controllers.size());
     options.name = "n" + std::to_string(self);
     options.settings = settings_of(processes, self);
     options.environment.clear();
     if (wrong_clocks && self % 3 != 0) {
       options.environment = faults::preload_environment();
-      options.environment[faults::kWallStepVariable] = self % 3 == 1 ? kAnHourAhead : kAnHourBehind;
+      options.environment[faults::kWallStepVariable] = self % 3 == 1 ? kStepHourAhead : kStepHourBehind;
     }
-    all.push_back(std::make_unique<ControllerProcess>(options));
+    controllers.push_back(std::make_unique<ControllerProcess>(options));
   };
-  for (int i = 0; i < processes / 2; ++i) begin();
+  for (int i = 0; i < processes / 2; ++i) start_controller();
   started = Clock::now();
-  const long since =
+  const long started_ms =
       std::chrono::duration_cast<std::chrono::milliseconds>(started.time_since_epoch()).count();
-  const std::string joined = member("s-0", cold.address(), "in_service", since);
-  log.tell(joined);                   // to those that are there
-  options.members.push_back(joined);  // and those that start after it have it from their start
-  while (static_cast<int>(all.size()) < processes) begin();
-  for (const auto& process : all) ASSERT_TRUE(process->wait_for_counter("list.changes", 2));
+  const std::string starting_member = member("s-0", starting_engine.address(), "in_service", started_ms);
+  log.tell(starting_member);                   // for the controllers that run already
+  options.members.push_back(starting_member);  // the ones that start later have it in their configuration
+  while (static_cast<int>(controllers.size()) < processes) start_controller();
+  for (const auto& controller : controllers) ASSERT_TRUE(controller->wait_for_counter("list.changes", 2));
 
   std::atomic<int> answered{0};
-  const auto last = Clock::now() + kTraffic;
+  const auto traffic_end = Clock::now() + kTrafficTime;
   std::vector<std::thread> clients;
   for (int i = 0; i < processes; ++i) {
     clients.emplace_back([&, i] {
-      FrontClient client(all[static_cast<std::size_t>(i)]->address());
-      const auto pause = i % 10 == 0 ? 5ms : 100ms;  // some get twenty times what others get
-      for (int tag = 1; Clock::now() < last; ++tag) {
+      FrontClient client(controllers[static_cast<std::size_t>(i)]->address());
+      const auto pause = i % 10 == 0 ? 5ms : 100ms;  // every tenth controller gets twenty times the traffic
+      for (int tag = 1; Clock::now() < traffic_end; ++tag) {
         client.invoke(tag, {{"effort", "200.0"}},
                       "select * from sales_" + std::to_string((tag + i) % 17) + ".orders");
         answered += client.receive().kind == FrontAnswer::Kind::kClosed ? 0 : 1;
@@ -123,17 +127,17 @@
   }
   for (auto& client : clients) client.join();
 
-  std::sort(arrivals.begin(), arrivals.end());
-  ASSERT_FALSE(arrivals.empty()) << "nobody sent it anything: nothing was shown";
+  std::sort(arrivals.start_controller(), arrivals.end());
+  ASSERT_FALSE(arrivals.empty()) << "no controller sent it anything: the test shows nothing";
   EXPECT_GT(answered, 20 * processes);
   double worst = 0;
   for (std::size_t from = 0, to = 0; to < arrivals.size(); ++to) {
     while (arrivals[from] <= arrivals[to] - kWindowS) ++from;
     const double allowed = budget(arrivals[to]);
-    const double most = allowed + 2 * std::sqrt(allowed) + 2;
+    const double bound = allowed + 2 * std::sqrt(allowed) + 2;
     const auto sent = static_cast<double>(to - from + 1);
     worst = std::max(worst, sent / allowed);
-    ASSERT_LE(sent, most) << "of " << allowed << " after " << arrivals[to] << " s";
+    ASSERT_LE(sent, bound) << "of " << allowed << " after " << arrivals[to] << " s";
   }
   RecordProperty("worst_of_budget", std::to_string(worst));
   RecordProperty("sent", static_cast<int>(arrivals.size()));
--- a/tests/integration/controller_process.cpp
+++ b/tests/integration/controller_process.cpp
@@ -24,8 +24,8 @@
 
 constexpr auto kWaitTimeout = std::chrono::seconds(20);
 
-// A loopback host address derived from the id of this process. On a host address shared with tests that run at
-// the same time, one of their clients could get the port between the probe and the controller's start.
+// A loopback host address derived from the id of this process. On a host address shared with tests that run
+// at the same time, one of their clients could get the port between the probe and the controller's start.
 std::string host_of_this_process() {
   constexpr unsigned kByte = 0xff;
   const auto pid = static_cast<unsigned>(::getpid());
@@ -85,8 +85,8 @@
 
 using Environment = std::map<std::string, std::string>;
 
-// If the environment of the test run sets kWallStepVariable, every controller has its wall clock stepped, except
-// those whose test controls the faults itself.
+// If the environment of the test run sets kWallStepVariable, every controller has its wall clock stepped,
+// except those whose test controls the faults itself.
 Environment with_wall_step(Environment environment) {
   const char* step = std::getenv(faults::kWallStepVariable);
   if (step == nullptr || environment.count(faults::kPageVariable) > 0) return environment;
@@ -169,7 +169,8 @@
   posix_spawn_file_actions_init(&actions);
   posix_spawn_file_actions_adddup2(&actions, pipe_ends[1], 2);
   posix_spawn_file_actions_adddup2(&actions, pipe_ends[1], 1);
-  posix_spawn_file_actions_addclosefrom_np(&actions, 3);  // else the program would keep the stand-ins' ports open
+  // Otherwise the program would keep the stand-ins' ports open.
+  posix_spawn_file_actions_addclosefrom_np(&actions, 3);
   std::vector<std::string> variables;
   for (const auto& [key, value] : with_wall_step(environment)) variables.push_back(key + "=" + value);
   std::vector<char*> envp;
@@ -229,7 +230,7 @@
   int status = 0;
   ::waitpid(pid_, &status, 0);
   exit_code_ = WIFEXITED(status) ? WEXITSTATUS(status) : 128 + WTERMSIG(status);
-  // Guards against a test that looks at the log before the last of it was read.
+  // A test may look at the log next: it has to be complete.
   bool reading = false;
   {
     const std::lock_guard lock(mutex_);
@@ -273,7 +274,7 @@
   signal(SIGUSR1);
   changed_.wait_for(lock, kWaitTimeout, [&] {
     const auto position = log_.find(last_counter, start_size);
-    return position != std::string::npos && log_.find('\size', position) != std::string::npos;
+    return position != std::string::npos && log_.find('\n', position) != std::string::npos;
   });
   std::istringstream lines(log_.substr(start_size));
   std::map<std::string, long> values;
--- a/tests/integration/controller_process.h
+++ b/tests/integration/controller_process.h
@@ -29,7 +29,7 @@
   long once_deadline_us = 60'000'000;  // in the default settings: of class `once`
   long connect_timeout_us = 250'000;   // in the default settings
   long drain_grace_us = 1'000'000;     // in the default settings
-  std::function<void()> on_output;  // called after each read of its output, in the thread that reads it
+  std::function<void()> on_output;     // called after each read of its output, in the thread that reads it
   std::map<std::string, std::string> environment;  // besides the variables for the configuration
 };
 
@@ -48,8 +48,8 @@
 
 class ControllerProcess {
  public:
-  // Writes the configuration, starts the program and waits until it listens. Throws std::runtime_error with its
-  // log if it does not.
+  // Writes the configuration, starts the program and waits until it listens. Throws std::runtime_error with
+  // its log if it does not.
   explicit ControllerProcess(const ControllerOptions& options);
   // Starts the program with this environment only and writes no configuration; does not wait.
   explicit ControllerProcess(const std::map<std::string, std::string>& environment,
--- a/tests/integration/front_client.cpp
+++ b/tests/integration/front_client.cpp
@@ -27,7 +27,7 @@
 using apache::thrift::transport::TMemoryBuffer;
 using apache::thrift::transport::TSocket;
 
-constexpr int kLongTimeMs = 20'000;
+constexpr int kTimeoutMs = 20'000;
 
 }  // namespace
 
@@ -42,8 +42,8 @@
   number_ = ++clients;
   const auto colon = address.rfind(':');
   socket_ = std::make_shared<TSocket>(address.substr(0, colon), std::stoi(address.substr(colon + 1)));
-  socket_->setRecvTimeout(kLongTimeMs);
-  socket_->setConnTimeout(kLongTimeMs);
+  socket_->setRecvTimeout(kTimeoutMs);
+  socket_->setConnTimeout(kTimeoutMs);
   framed_ = std::make_shared<TFramedTransport>(socket_);
   protocol_ = std::make_unique<TBinaryProtocol>(framed_);
   protocol_->setStrict(true, true);
@@ -77,8 +77,8 @@
   framed_->flush();
 }
 
-std::string FrontClient::bytes_of_invoke(std::int32_t sequence,
-                                         const std::map<std::string, std::string>& more) {
+std::string FrontClient::encode_invoke(std::int32_t sequence,
+                                       const std::map<std::string, std::string>& more) {
   const auto memory = std::make_shared<TMemoryBuffer>();
   const auto framed = std::make_shared<TFramedTransport>(memory);
   TBinaryProtocol protocol(framed);
@@ -90,8 +90,8 @@
 
 bool FrontClient::ended_by_peer() const {
   char byte = 0;
-  const ssize_t n = ::recv(socket_->getSocketFD(), &byte, 1, MSG_PEEK | MSG_DONTWAIT);
-  return n == 0 || (n < 0 && errno != EAGAIN && errno != EINTR);
+  const ssize_t received = ::recv(socket_->getSocketFD(), &byte, 1, MSG_PEEK | MSG_DONTWAIT);
+  return received == 0 || (received < 0 && errno != EAGAIN && errno != EINTR);
 }
 
 void FrontClient::abort(std::int32_t aborted) {
@@ -155,7 +155,7 @@
     answer.kind = id == 1 ? FrontAnswer::Kind::kRefused : FrontAnswer::Kind::kFailed;
     read_fields_struct(answer);
   }
-  protocol_->readFieldBegin(unused, type, id);  // the end
+  protocol_->readFieldBegin(unused, type, id);  // the field stop
 }
 
 void FrontClient::read_answer_struct(FrontAnswer& answer) {
@@ -188,13 +188,13 @@
   TType value = T_STOP;
   std::uint32_t count = 0;
   protocol_->readMapBegin(key, value, count);
-  std::map<std::string, std::string> out;
+  std::map<std::string, std::string> fields;
   for (std::uint32_t i = 0; i < count; ++i) {
     std::string name;
     protocol_->readString(name);
-    protocol_->readString(out[name]);
+    protocol_->readString(fields[name]);
   }
-  return out;
+  return fields;
 }
 
 }  // namespace orchidgw::integration
--- a/tests/integration/front_client.h
+++ b/tests/integration/front_client.h
@@ -1,4 +1,4 @@
-// A client of the front, on libthrift's transports and protocol.
+// A client of the controller's Thrift service `Front`, on libthrift's transports and protocol.
 #pragma once
 
 #include <thrift/protocol/TBinaryProtocol.h>
@@ -13,10 +13,11 @@
 namespace orchidgw::integration {
 
 struct FrontAnswer {
+  // kClosed: there was no whole answer (the connection ended, or nothing came for 20 s).
   enum class Kind { kServed, kRefused, kFailed, kApplicationException, kPong, kClosed };
   Kind kind = Kind::kClosed;
   std::int32_t sequence = 0;
-  std::string body;
+  std::string body;  // result rows; of kApplicationException: its message
   bool good = false;
   std::map<std::string, std::string> fields;
 };
@@ -26,19 +27,22 @@
   explicit FrontClient(const std::string& address);
   ~FrontClient() { close(); }
 
-  // Fields of a usable request; overwritten by `more`.
+  // Sends a valid request; `more` adds fields to it or replaces them. Sends throw apache::thrift::TException
+  // once the connection has ended.
   void invoke(std::int32_t sequence, const std::map<std::string, std::string>& more = {},
               const std::string& statement = "select * from sales_3.orders");
-  // The reference that `invoke` gives a request of that number; no other client's has it.
+  // The reference (field `ref`) that `invoke` gives to the request of that sequence number. Clients of one
+  // process never share a reference.
   std::string reference_of(std::int32_t sequence) const;
   // The bytes that `invoke` would write.
-  std::string bytes_of_invoke(std::int32_t sequence, const std::map<std::string, std::string>& more = {});
-  void abort(std::int32_t aborted);
+  std::string encode_invoke(std::int32_t sequence, const std::map<std::string, std::string>& more = {});
+  void abort(std::int32_t aborted);  // aborts the request of that sequence number; has no answer
   void ping(std::int32_t sequence);
-  void call(const std::string& method, std::int32_t sequence);
-  void raw(const std::string& bytes);
-  FrontAnswer receive();       // the next answer; kClosed if there is none
-  bool ended_by_peer() const;  // and nothing is left to be read before that
+  void call(const std::string& method, std::int32_t sequence);  // of any method, without fields
+  void raw(const std::string& bytes);                           // writes these bytes, unframed
+  FrontAnswer receive();                                        // waits for the next answer
+  // Whether the controller has ended the connection and nothing is left to read; does not wait.
+  bool ended_by_peer() const;
   void close();
 
  private:
@@ -49,7 +53,7 @@
   void read_fields_struct(FrontAnswer& answer);
   std::map<std::string, std::string> read_map();
 
-  unsigned number_ = 0;
+  unsigned number_ = 0;  // of this client within the process
   std::shared_ptr<apache::thrift::transport::TSocket> socket_;
   std::shared_ptr<apache::thrift::transport::TFramedTransport> framed_;
   std::unique_ptr<apache::thrift::protocol::TBinaryProtocol> protocol_;
--- a/tests/integration/http_stand_in.cpp
+++ b/tests/integration/http_stand_in.cpp
@@ -11,7 +11,7 @@
 namespace orchidgw::integration {
 namespace {
 
-constexpr auto kLongTime = std::chrono::seconds(20);
+constexpr auto kWaitTimeout = std::chrono::seconds(20);
 
 void reset(Poco::Net::StreamSocket& socket) {
   socket.setLinger(true, 0);
@@ -22,7 +22,7 @@
 
 HttpStandIn::HttpStandIn(Script script, const std::string& address) : script_(std::move(script)) {
   server_.bind(Poco::Net::SocketAddress(address), true);
-  server_.listen(1024);  // a burst of connects must not be dropped
+  server_.listen(1024);  // a burst of connects must not overflow the backlog
   address_ = server_.address().toString();
   acceptor_ = std::thread([this] { accept_all(); });
 }
@@ -33,49 +33,50 @@
   if (stopped_.exchange(true)) return;
   acceptor_.join();
   server_.close();
-  std::map<int, Served> served;
+  std::map<int, Connection> connections;
   {
     const std::lock_guard lock(mutex_);
-    for (auto& [number, one] : served_) {
+    for (auto& [number, connection] : connections_) {
       try {
-        one.socket.setLinger(true, 0);
-        one.socket.shutdownReceive();
+        connection.socket.setLinger(true, 0);
+        connection.socket.shutdownReceive();
       } catch (const Poco::Exception&) {
         continue;  // closed already
       }
     }
-    served.swap(served_);
+    connections.swap(connections_);
     changed_.notify_all();
   }
-  for (auto& [number, one] : served) one.thread.join();
+  for (auto& [number, connection] : connections) connection.thread.join();
 }
 
-// Guards against a measurement that ends at as many connections as there are descriptors.
-void HttpStandIn::let_go_of_ended() {
-  std::vector<Served> ended;
+// Threads and sockets of ended connections must not add up: a measurement would stop when the descriptors run
+// out.
+void HttpStandIn::join_ended_connections() {
+  std::vector<Connection> ended;
   {
     const std::lock_guard lock(mutex_);
     for (const int number : std::exchange(ended_, {}))
-      ended.push_back(std::move(served_.extract(number).mapped()));
+      ended.push_back(std::move(connections_.extract(number).mapped()));
   }
-  for (Served& one : ended) one.thread.join();
+  for (Connection& connection : ended) connection.thread.join();
 }
 
 void HttpStandIn::accept_all() {
-  const Poco::Timespan slice(20'000);
+  const Poco::Timespan poll_time(20'000);
   int number = 0;
   while (!stopped_) {
-    if (!server_.poll(slice, Poco::Net::Socket::SELECT_READ)) continue;
+    if (!server_.poll(poll_time, Poco::Net::Socket::SELECT_READ)) continue;
     Poco::Net::StreamSocket socket = server_.acceptConnection();
     socket.setNoDelay(true);
-    let_go_of_ended();
+    join_ended_connections();
     const std::lock_guard lock(mutex_);
     std::thread thread([this, socket, n = ++number] {
       serve(socket, n);
-      const std::lock_guard at_its_end(mutex_);
+      const std::lock_guard ended_lock(mutex_);
       ended_.push_back(n);
     });
-    served_.emplace(number, Served{socket, std::move(thread)});
+    connections_.emplace(number, Connection{socket, std::move(thread)});
   }
 }
 
@@ -99,19 +100,18 @@
         calls_.push_back(call);
         changed_.notify_all();
       }
-      const bool goes_on = reply(socket, script_(call));
+      const bool stays_open = send_reply(socket, script_(call));
       const std::lock_guard lock(mutex_);
       ++replies_;
       changed_.notify_all();
-      if (!goes_on) return;
+      if (!stays_open) return;
     }
   } catch (const Poco::Exception&) {
-    return;  // the other side is gone
+    return;  // the peer has ended the connection
   }
 }
 
-// False if the connection is over.
-bool HttpStandIn::reply(Poco::Net::StreamSocket& socket, const HttpReply& reply) {
+bool HttpStandIn::send_reply(Poco::Net::StreamSocket& socket, const HttpReply& reply) {
   using Way = HttpReply::Way;
   if (reply.way == Way::kReset) {
     reset(socket);
@@ -127,17 +127,17 @@
     changed_.wait(lock, [this] { return stopped_.load(); });
     return false;
   }
-  std::string out = reply.body;
+  std::string bytes = reply.body;
   if (reply.way != Way::kRaw) {
-    out = "HTTP/1.1 " + std::to_string(reply.status) + " x\r\n";
-    for (const auto& [name, value] : reply.headers) out += name + ": " + value + "\r\n";
-    out += "Content-Length: " + std::to_string(reply.body.size()) + "\r\n\r\n";
-    out += reply.way == Way::kCutBody ? reply.body.substr(0, reply.body.size() / 2) : reply.body;
+    bytes = "HTTP/1.1 " + std::to_string(reply.status) + " x\r\n";
+    for (const auto& [name, value] : reply.headers) bytes += name + ": " + value + "\r\n";
+    bytes += "Content-Length: " + std::to_string(reply.body.size()) + "\r\n\r\n";
+    bytes += reply.way == Way::kCutBody ? reply.body.substr(0, reply.body.size() / 2) : reply.body;
   }
   std::size_t sent = 0;
-  while (sent < out.size())
-    sent +=
-        static_cast<std::size_t>(socket.sendBytes(out.data() + sent, static_cast<int>(out.size() - sent)));
+  while (sent < bytes.size())
+    sent += static_cast<std::size_t>(
+        socket.sendBytes(bytes.data() + sent, static_cast<int>(bytes.size() - sent)));
   if (reply.way != Way::kCutBody) return true;
   socket.shutdown();
   socket.close();
@@ -146,7 +146,7 @@
 
 bool HttpStandIn::wait_for(const std::function<bool(const HttpCall&)>& wanted) {
   std::unique_lock lock(mutex_);
-  return changed_.wait_for(lock, kLongTime, [&] {
+  return changed_.wait_for(lock, kWaitTimeout, [&] {
     for (const auto& call : calls_)
       if (wanted(call)) return true;
     return false;
@@ -155,7 +155,7 @@
 
 bool HttpStandIn::wait_for_replies(int count) {
   std::unique_lock lock(mutex_);
-  return changed_.wait_for(lock, kLongTime, [&] { return replies_ >= count; });
+  return changed_.wait_for(lock, kWaitTimeout, [&] { return replies_ >= count; });
 }
 
 bool HttpStandIn::wait_for(const std::string& method, const std::string& path_part) {
@@ -171,9 +171,9 @@
 
 int HttpStandIn::count(const std::string& method) const {
   const std::lock_guard lock(mutex_);
-  int n = 0;
-  for (const auto& call : calls_) n += call.method == method ? 1 : 0;
-  return n;
+  int matching = 0;
+  for (const auto& call : calls_) matching += call.method == method ? 1 : 0;
+  return matching;
 }
 
 }  // namespace orchidgw::integration
--- a/tests/integration/levels_days.cpp
+++ b/tests/integration/levels_days.cpp
@@ -1,6 +1,6 @@
-// Rough days on real sockets, with and without reduced service levels: the program itself, two stand-in
-// engines that run eight queries each at a time, and clients that come at planned times. A measurement, no
-// test: `make levels-on-sockets`.
+// A measurement, not a test (`make levels-on-sockets`): short overload scenarios on real sockets, with and
+// without reduced service levels. The program runs with two stand-in engines, each of which runs eight
+// queries at a time, and with clients that send at planned times.
 #include <atomic>
 #include <chrono>
 #include <condition_variable>
@@ -25,30 +25,30 @@
 using Clock = std::chrono::steady_clock;
 using Ms = std::chrono::duration<double, std::milli>;
 
-constexpr double kDayMs = 16'000, kTroubleFromMs = 4'000, kTroubleToMs = 11'000;
+constexpr double kScenarioMs = 16'000, kTroubleFromMs = 4'000, kOverloadToMs = 11'000;
 constexpr int kSlots = 8;
 
-struct Kind {
+struct QueryKind {
   const char* name;
-  double per_second, takes_ms, worth, late_worth, aim_ms;
+  double per_second, duration_ms, value, late_value_share, latency_target_ms;
   int clients;
 };
-constexpr Kind kKinds[] = {{"lookup", 60, 10, 1, 0.1, 300, 20},
-                           {"report", 36, 120, 6, 0.4, 600, 200},
-                           {"order-load", 12, 240, 15, 0.6, 1'000, 40}};
+constexpr QueryKind kKinds[] = {{"lookup", 60, 10, 1, 0.1, 300, 20},
+                                {"report", 36, 120, 6, 0.4, 600, 200},
+                                {"order-load", 12, 240, 15, 0.6, 1'000, 40}};
 
-struct Day {
+struct Scenario {
   const char* name;
-  double reports;  // times the calm rate, in the trouble
-  double slower;   // times what queries take, in the trouble
+  double reports;  // multiple of the normal rate of reports, during the overload
+  double slower;   // multiple of the normal duration of queries, during the overload
 };
 
-// Runs so many at a time; all others wait in turn. A call is answered once its query is over, or as "not yet"
-// after a while; what is given up stops at once.
+// Runs kSlots queries at a time; the others wait in a queue. A call is answered once its query has ended, or
+// with status 202 after 240 ms; a cancelled query stops immediately.
 class Engine {
  public:
-  Engine(const Day& day, Clock::time_point begun)
-      : day_(day), begun_(begun), server_([this](const HttpCall& call) { return answer(call); }) {
+  Engine(const Scenario& scenario, Clock::time_point start)
+      : scenario_(scenario), start_(start), server_([this](const HttpCall& call) { return answer(call); }) {
     for (int i = 0; i < kSlots; ++i) workers_.emplace_back([this] { work(); });
   }
   ~Engine() {
@@ -63,24 +63,24 @@
 
  private:
   struct Job {
-    double takes = 0;
+    double duration = 0;
     bool done = false;
-    bool given_up = false;
+    bool cancelled = false;
   };
 
   void work() {
     std::unique_lock lock(mutex_);
     while (true) {
-      changed_.wait(lock, [&] { return stopping_ || !line_.empty(); });
+      changed_.wait(lock, [&] { return stopping_ || !queue_.empty(); });
       if (stopping_) return;
-      const std::shared_ptr<Job> job = line_.front();
-      line_.pop_front();
-      if (job->given_up) continue;
-      const double at = Ms(Clock::now() - begun_).count();
-      const bool trouble = at >= kTroubleFromMs && at < kTroubleToMs;
-      const Ms takes(job->takes * (trouble ? day_.slower : 1));
-      changed_.wait_for(lock, takes, [&] { return stopping_ || job->given_up; });
-      job->done = !job->given_up;
+      const std::shared_ptr<Job> job = queue_.front();
+      queue_.pop_front();
+      if (job->cancelled) continue;
+      const double at = Ms(Clock::now() - start_).count();
+      const bool overload = at >= kOverloadFromMs && at < kOverloadToMs;
+      const Ms duration(job->duration * (overload ? scenario_.slower : 1));
+      changed_.wait_for(lock, duration, [&] { return stopping_ || job->cancelled; });
+      job->done = !job->cancelled;
       changed_.notify_all();
     }
   }
@@ -90,43 +90,43 @@
     std::unique_lock lock(mutex_);
     if (call.method == "POST") {
       const auto job = std::make_shared<Job>();
-      for (const Kind& kind : kKinds)
-        if (call.headers.at("Call-Kind") == kind.name) job->takes = kind.takes_ms;
+      for (const QueryKind& kind : kKinds)
+        if (call.headers.at("Call-Kind") == kind.name) job->duration = kind.duration_ms;
       jobs_[id] = job;
-      line_.push_back(job);
+      queue_.push_back(job);
       changed_.notify_all();
     }
-    HttpReply r;
+    HttpReply result;
     const auto it = jobs_.find(id);
     if (it == jobs_.end()) {
-      r.status = call.method == "GET" ? 500 : 204;
-      return r;
+      result.status = call.method == "GET" ? 500 : 204;
+      return result;
     }
     const std::shared_ptr<Job> job = it->second;
     if (call.method == "DELETE" || call.method == "PUT") {
-      job->given_up = job->given_up || call.method == "DELETE";
+      job->cancelled = job->cancelled || call.method == "DELETE";
       changed_.notify_all();
-      r.status = 204;
-      return r;
+      result.status = 204;
+      return result;
     }
-    const bool over = changed_.wait_for(lock, std::chrono::milliseconds(240),
-                                        [&] { return stopping_ || job->done || job->given_up; });
-    if (!over || !job->done) {
-      r.status = 202;
-      return r;
+    const bool ended = changed_.wait_for(lock, std::chrono::milliseconds(240),
+                                         [&] { return stopping_ || job->done || job->cancelled; });
+    if (!ended || !job->done) {
+      result.status = 202;
+      return result;
     }
-    r.headers = {{"X-Pages", "1"}, {"X-Cost-Ms", std::to_string(job->takes)}, {"X-Needed-Mb", "4"}};
-    r.body = "a\tb\tc\n";
-    return r;
+    result.headers = {{"X-Pages", "1"}, {"X-Cost-Ms", std::to_string(job->duration)}, {"X-Needed-Mb", "4"}};
+    result.body = "a\tb\tc\n";
+    return result;
   }
 
-  const Day& day_;
-  Clock::time_point begun_;
+  const Scenario& scenario_;
+  Clock::time_point start_;
   std::mutex mutex_;
   std::condition_variable changed_;
   bool stopping_ = false;
   std::map<std::string, std::shared_ptr<Job>> jobs_;
-  std::deque<std::shared_ptr<Job>> line_;
+  std::deque<std::shared_ptr<Job>> queue_;
   std::vector<std::thread> workers_;
   HttpStandIn server_;
 };
@@ -149,7 +149,8 @@
 ...
 )";
 
-std::string config_of(const std::string& listen, const std::string& change_log, const std::string& members) {
+std::string make_config(const std::string& listen, const std::string& change_log,
+                        const std::string& members) {
   return R"({"name":"n0","listen":")" + listen +
          R"(","seed":"8c1f30d27a5be964","limits":{"cores":1.0,"memory_mb":192,)" +
          R"("sockets":2048},"changelog":")" + change_log +
@@ -166,38 +167,40 @@
 }
 
 struct Counts {
-  std::atomic<long> asked{0}, in_time{0}, late{0}, refused{0}, other{0};
+  std::atomic<long> sent{0}, in_time{0}, late{0}, refused{0}, other{0};
 };
 
-// Sends at planned times, as long as one of its connections is free.
-void clients_of(std::size_t k, const Day& day, Clock::time_point begun, const std::string& address,
-                Counts& counts, std::vector<std::thread>& threads) {
-  const Kind& kind = kKinds[k];
-  auto plan = std::make_shared<std::vector<double>>();
+// Starts the clients of a kind of query. They share planned send times; a query is sent late if all of them
+// are waiting for an answer.
+void start_clients(std::size_t k, const Scenario& scenario, Clock::time_point start,
+                   const std::string& address, Counts& counts, std::vector<std::thread>& threads) {
+  const QueryKind& kind = kKinds[k];
+  auto send_times = std::make_shared<std::vector<double>>();
   std::mt19937 random(static_cast<unsigned>(k) + 1);
-  for (double at = 0; at < kDayMs;) {
-    const bool trouble = at >= kTroubleFromMs && at < kTroubleToMs;
-    const double rate = kind.per_second * (trouble && k == 1 ? day.reports : 1);
+  for (double at = 0; at < kScenarioMs;) {
+    const bool overload = at >= kOverloadFromMs && at < kOverloadToMs;
+    const double rate = kind.per_second * (overload && k == 1 ? scenario.reports : 1);
     at += std::exponential_distribution<double>(rate / 1e3)(random);
-    plan->push_back(at);
+    send_times->push_back(at);
   }
   auto next = std::make_shared<std::atomic<std::size_t>>(0);
-  for (int c = 0; c < kind.clients; ++c) {
-    threads.emplace_back([k, &kind, begun, address, &counts, plan, next] {
+  for (int client_index = 0; client_index < kind.clients; ++client_index) {
+    threads.emplace_back([k, &kind, start, address, &counts, send_times, next] {
       while (true) {
         const std::size_t i = (*next)++;
-        if (i >= plan->size()) return;
-        std::this_thread::sleep_until(begun + std::chrono::duration_cast<Clock::duration>(Ms((*plan)[i])));
-        FrontClient client(address);  // one that is silent for long would be closed
+        if (i >= send_times->size()) return;
+        std::this_thread::sleep_until(start +
+                                      std::chrono::duration_cast<Clock::duration>(Ms((*send_times)[i])));
+        FrontClient client(address);  // a connection that was silent for long would be closed
         client.invoke(1, {{"service", kind.name},
                           {"allow", k == 0 ? "2000" : "4000"},
-                          {"effort", std::to_string(kind.takes_ms)},
+                          {"effort", std::to_string(kind.duration_ms)},
                           {"replay", client.reference_of(1)}});
-        ++counts.asked;
+        ++counts.sent;
         const FrontAnswer answer = client.receive();
-        const double took = Ms(Clock::now() - begun).count() - (*plan)[i];
+        const double took = Ms(Clock::now() - start).count() - (*send_times)[i];
         const bool served = answer.kind == FrontAnswer::Kind::kServed;
-        ++(served ? (took <= kind.aim_ms + 2 * kind.takes_ms ? counts.in_time : counts.late)
+        ++(served ? (took <= kind.latency_target_ms + 2 * kind.duration_ms ? counts.in_time : counts.late)
            : answer.kind == FrontAnswer::Kind::kRefused ? counts.refused
                                                         : counts.other);
       }
@@ -205,46 +208,47 @@
   }
 }
 
-void play(const Day& day, bool levels) {
-  const auto begun = Clock::now() + std::chrono::milliseconds(300);
+void run_scenario(const Scenario& scenario, bool levels) {
+  const auto start = Clock::now() + std::chrono::milliseconds(300);
   ChangeLogStandIn change_log;
-  Engine first(day, begun);
-  Engine second(day, begun);
+  Engine first(scenario, start);
+  Engine second(scenario, start);
   ControllerOptions options;
   options.change_log = change_log.address();
   options.limits = levels ? kLevels : "version: 1\n...\n";
   options.config = [&](const std::string& listen) {
-    return config_of(listen, change_log.address(),
-                     member("s-0", first.address()) + "," + member("s-1", second.address()));
+    return make_config(listen, change_log.address(),
+                       member("s-0", first.address()) + "," + member("s-1", second.address()));
   };
   ControllerProcess controller(options);
   Counts counts[3];
   std::vector<std::thread> threads;
-  for (std::size_t k = 0; k < 3; ++k) clients_of(k, day, begun, controller.address(), counts[k], threads);
+  for (std::size_t k = 0; k < 3; ++k)
+    start_clients(k, scenario, start, controller.address(), counts[k], threads);
   for (auto& thread : threads) thread.join();
-  double worth = 0;
+  double value = 0;
   double offered = 0;
   for (std::size_t k = 0; k < 3; ++k) {
-    worth += kKinds[k].worth * (static_cast<double>(counts[k].in_time) +
-                                kKinds[k].late_worth * static_cast<double>(counts[k].late));
-    offered += kKinds[k].worth * static_cast<double>(counts[k].asked);
+    value += kKinds[k].value * (static_cast<double>(counts[k].in_time) +
+                                kKinds[k].late_value_share * static_cast<double>(counts[k].late));
+    offered += kKinds[k].value * static_cast<double>(counts[k].sent);
   }
-  auto told = controller.counters();
-  std::cout << std::left << std::setw(24) << day.name << std::setw(9) << (levels ? "with" : "without")
-            << std::fixed << std::setprecision(3) << std::setw(9) << worth / offered << std::setw(13)
-            << static_cast<double>(counts[2].in_time) / static_cast<double>(counts[2].asked) << std::setw(9)
-            << counts[1].refused << std::setw(6) << told["queries.refused.shed"] << std::setw(8)
-            << counts[0].other + counts[1].other + counts[2].other << told["level.changes"] << std::endl;
+  auto counters = controller.counters();
+  std::cout << std::left << std::setw(24) << scenario.name << std::setw(9) << (levels ? "with" : "without")
+            << std::fixed << std::setprecision(3) << std::setw(9) << value / offered << std::setw(13)
+            << static_cast<double>(counts[2].in_time) / static_cast<double>(counts[2].sent) << std::setw(9)
+            << counts[1].refused << std::setw(6) << counters["queries.refused.shed"] << std::setw(8)
+            << counts[0].other + counts[1].other + counts[2].other << counters["level.changes"] << std::endl;
 }
 
 }  // namespace
 
 int main(int argc, char**) {
-  const Day days[] = {{"calm", 1, 1}, {"reports x 6", 6, 1}, {"engines 2.5 x slower", 1, 2.5}};
+  const Scenario scenarios[] = {{"calm", 1, 1}, {"reports x 6", 6, 1}, {"engines 2.5 x slower", 1, 2.5}};
   std::cout
       << "day                     levels   worth    loads in aim reports refused, shed; failed; changes\n";
-  for (const Day& day : days) {
-    if (argc > 1 && &day == &days[0]) continue;  // any argument: the troubles alone
-    for (const bool levels : {false, true}) play(day, levels);
+  for (const Scenario& scenario : scenarios) {
+    if (argc > 1 && &scenario == &scenarios[0]) continue;  // with any argument: only the overload scenarios
+    for (const bool levels : {false, true}) run_scenario(scenario, levels);
   }
 }
--- a/tests/integration/levels_test.cpp
+++ b/tests/integration/levels_test.cpp
@@ -1,5 +1,5 @@
-// `orchidgw` itself under reduced service levels: entered and left by what its stand-in engines do, and by
-// hand.
+// The program under reduced service levels, which it enters and leaves because of how its stand-in engine
+// behaves, or because an operator overrides the level.
 #include <gtest/gtest.h>
 #include <signal.h>
 #include <unistd.h>
@@ -20,8 +20,8 @@
 
 using Kind = FrontAnswer::Kind;
 
-// Answers are slow against their estimate while `slow_ms` is above; "once" stands for the loads, lookups are
-// shed.
+// The level is entered while answers, delayed by `slow_ms`, take too long against their estimate. It sheds
+// class "lookup"; class "once" takes the part of the load queries, which it keeps.
 const std::string kLevels =
     "version: 1\nlevels:\n  list:\n  - name: reduced\n"
     "    enter: {signal: slowdown, above: 3, for: 300ms, over: 1s}\n"
@@ -33,12 +33,12 @@
  protected:
   void start(const std::string& limits) {
     engine = std::make_unique<HttpStandIn>([this](const HttpCall& call) {
-      HttpReply r;
-      r.headers = {{"X-Pages", "1"}, {"X-Cost-Ms", "5"}, {"X-Needed-Mb", "4"}};
-      if (call.method == "DELETE") r.status = 204;
+      HttpReply result;
+      result.headers = {{"X-Pages", "1"}, {"X-Cost-Ms", "5"}, {"X-Needed-Mb", "4"}};
+      if (call.method == "DELETE") result.status = 204;
       if (call.method == "POST") std::this_thread::sleep_for(std::chrono::milliseconds(slow_ms));
-      r.body = "a\tb\tc\n";
-      return r;
+      result.body = "a\tb\tc\n";
+      return result;
     });
     options.members = {member("s-0", engine->address())};
     options.change_log = change_log.address();
@@ -55,7 +55,8 @@
     return client.receive();
   }
 
-  // Asks for loads until the log has the line; the engines' times make the signal.
+  // Sends queries of class "once" until the log contains the text: the times of their answers drive the
+  // signal. False if one of them is not served, or after 2,000.
   bool load_until(const std::string& part) {
     for (int i = 0; i < 2'000; ++i) {
       if (controller->log().find(part) != std::string::npos) return true;
@@ -64,9 +65,10 @@
     return false;
   }
 
-  std::string run(const std::vector<std::string>& words, int expected) {
-    ControllerProcess command({{"ORCHIDGW_ADMIN", admin_path()}}, words);
-    EXPECT_EQ(command.wait_exit(), expected);
+  // Runs a command of the program against the administration socket; returns its output.
+  std::string run(const std::vector<std::string>& arguments, int expected_exit_code) {
+    ControllerProcess command({{"ORCHIDGW_ADMIN", admin_path()}}, arguments);
+    EXPECT_EQ(command.wait_exit(), expected_exit_code);
     command.wait_for_line("\n");
     return command.log();
   }
--- a/tests/integration/loopback_rate.cpp
+++ b/tests/integration/loopback_rate.cpp
@@ -1,5 +1,6 @@
-// Requests a second and CPU a request of one or more builds of the program on loopback, in turn, in one run;
-// the last one also under an operators' file of 1,000 routes. A measurement, no test.
+// A measurement, not a test: requests per second and CPU time per request of one or more builds of the
+// program on loopback, measured in turn within one run; the last build also with an operators' file of 1,000
+// routes.
 #include <signal.h>
 #include <unistd.h>
 
@@ -20,15 +21,15 @@
 using namespace orchidgw::integration;
 
 constexpr int kClients = 4;
-constexpr int kQueries = 2'000;  // a client
+constexpr int kQueries = 2'000;  // per client
 constexpr int kRounds = 3;
 
 HttpReply serve(const HttpCall& call) {
-  HttpReply r;
-  r.headers = {{"X-Pages", "1"}, {"X-Cost-Ms", "5"}, {"X-Needed-Mb", "4"}};
-  if (call.method == "DELETE") r.status = 204;
-  r.body = "a\tb\tc\n";
-  return r;
+  HttpReply result;
+  result.headers = {{"X-Pages", "1"}, {"X-Cost-Ms", "5"}, {"X-Needed-Mb", "4"}};
+  if (call.method == "DELETE") result.status = 204;
+  result.body = "a\tb\tc\n";
+  return result;
 }
 
 std::string thousand_routes() {
@@ -39,7 +40,7 @@
   return text + "...\n";
 }
 
-void play(const std::string& program, const std::string& limits) {
+void measure(const std::string& program, const std::string& limits) {
   ChangeLogStandIn change_log;
   HttpStandIn engine(serve);
   ControllerOptions options;
@@ -49,10 +50,10 @@
   options.change_log = change_log.address();
   options.members = {member("s-0", engine.address())};
   ControllerProcess controller(options);
-  const auto begun = std::chrono::steady_clock::now();
-  const double cpu = cpu_of(controller.pid());
+  const auto started_at = std::chrono::steady_clock::now();
+  const double cpu_before = cpu_of(controller.pid());
   std::vector<std::thread> clients;
-  for (int c = 0; c < kClients; ++c) {
+  for (int client_index = 0; client_index < kClients; ++client_index) {
     clients.emplace_back([&] {
       FrontClient client(controller.address());
       for (std::int32_t n = 1; n <= kQueries; ++n) {
@@ -62,17 +63,18 @@
     });
   }
   for (auto& client : clients) client.join();
-  const std::chrono::duration<double> took = std::chrono::steady_clock::now() - begun;
-  constexpr double kAll = kClients * kQueries;
-  std::cout << program << (limits.empty() ? "" : " under 1,000 routes") << ": " << kAll / took.count()
-            << " requests/s, " << (cpu_of(controller.pid()) - cpu) / kAll * 1e6 << " us CPU a request\n";
+  const std::chrono::duration<double> took = std::chrono::steady_clock::now() - started_at;
+  constexpr double kAllQueries = kClients * kQueries;
+  std::cout << program << (limits.empty() ? "" : " under 1,000 routes") << ": " << kAllQueries / took.count()
+            << " requests/s, " << (cpu_of(controller.pid()) - cpu_before) / kAllQueries * 1e6
+            << " us CPU a request\n";
 }
 
 }  // namespace
 
 int main(int argc, char** argv) {
   for (int round = 0; round < kRounds; ++round) {
-    for (int i = 1; i < argc; ++i) play(argv[i], "");
-    if (argc > 1) play(argv[argc - 1], thousand_routes());
+    for (int i = 1; i < argc; ++i) measure(argv[i], "");
+    if (argc > 1) measure(argv[argc - 1], thousand_routes());
   }
 }
--- a/tests/integration/shutdown_probe.cpp
+++ b/tests/integration/shutdown_probe.cpp
@@ -37,10 +37,10 @@
 
 void ProbeClient::run() {
   std::int32_t sequence = 0;
-  while (!client_.ended_by_peer() && ask(++sequence)) continue;
+  while (!client_.ended_by_peer() && send_request(++sequence)) continue;
 }
 
-bool ProbeClient::ask(std::int32_t sequence) {
+bool ProbeClient::send_request(std::int32_t sequence) {
   std::map<std::string, std::string> fields = {
       {"service", query_class_}, {"allow", std::to_string(allow_.count())}, {"effort", "5.0"}};
   if (query_class_ == "load") fields["replay"] = "5c0f6e1a2b3d4c59" + client_.reference_of(sequence);
@@ -58,40 +58,40 @@
 }
 
 milliseconds earliest_kill(milliseconds longest_deadline) {
-  constexpr milliseconds kCountedAtMost{3000};
+  constexpr milliseconds kMaxCountedDeadline{3000};
   constexpr milliseconds kRequestsKeepComing{700};
-  return std::min(longest_deadline, kCountedAtMost) + kRequestsKeepComing;
+  return std::min(longest_deadline, kMaxCountedDeadline) + kRequestsKeepComing;
 }
 
-milliseconds stop_by_log(const std::string& log) {
+milliseconds stop_duration_in_log(const std::string& log) {
   std::istringstream lines(log);
-  milliseconds asked{0};
-  milliseconds stopped{0};
+  milliseconds asked_to_stop_at{0};
+  milliseconds stopped_at{0};
   for (std::string line; std::getline(lines, line);) {
-    if (line.find("asked to stop") != std::string::npos) asked = milliseconds(std::stoll(line));
-    if (line.ends_with(": stopping")) stopped = milliseconds(std::stoll(line));
+    if (line.find("asked to stop") != std::string::npos) asked_to_stop_at = milliseconds(std::stoll(line));
+    if (line.ends_with(": stopping")) stopped_at = milliseconds(std::stoll(line));
   }
-  return stopped - asked;
+  return stopped_at - asked_to_stop_at;
 }
 
 Shutdown shut_down(ControllerProcess& controller, milliseconds longest_deadline) {
-  const ProbeClock::time_point asked_at = ProbeClock::now();
+  const ProbeClock::time_point sigterm_at = ProbeClock::now();
   controller.signal(SIGTERM);
-  return wait_for_shutdown(controller, asked_at, longest_deadline);
+  return wait_for_shutdown(controller, sigterm_at, longest_deadline);
 }
 
-Shutdown wait_for_shutdown(ControllerProcess& controller, ProbeClock::time_point asked_at,
+Shutdown wait_for_shutdown(ControllerProcess& controller, ProbeClock::time_point sigterm_at,
                            milliseconds longest_deadline) {
   Shutdown shutdown;
-  shutdown.asked_at = asked_at;
-  auto ended = std::async(std::launch::async, [&controller, &shutdown] {
+  shutdown.sigterm_at = sigterm_at;
+  auto exit_code = std::async(std::launch::async, [&controller, &shutdown] {
     const int code = controller.wait_exit();
-    shutdown.over_at = ProbeClock::now();
+    shutdown.ended_at = ProbeClock::now();
     return code;
   });
-  const auto kill_at = asked_at + earliest_kill(longest_deadline) + kLeakCheck;
-  if (ended.wait_until(kill_at) == std::future_status::timeout) controller.signal(SIGKILL);
-  shutdown.exit_code = ended.get();
+  const auto kill_at = sigterm_at + earliest_kill(longest_deadline) + kLeakCheck;
+  if (exit_code.wait_until(kill_at) == std::future_status::timeout) controller.signal(SIGKILL);
+  shutdown.exit_code = exit_code.get();
   return shutdown;
 }
 
--- a/tests/integration/shutdown_test.cpp
+++ b/tests/integration/shutdown_test.cpp
@@ -1,11 +1,11 @@
-// A shutdown while clients go on using their open connections, as the operators' terms have it.
+// A shutdown while clients go on using their open connections, as the operators' rules allow.
 //
-// What happened (issue 46, A 1): one controller, one engine, 8 clients with one request after the other on
-// connections opened before SIGTERM. The controller never ended by itself: it closed a resting client alone,
-// and a client that always has a request open never rests. SIGKILL found one request of each client read and
-// unanswered (8 of 8 lost with a healthy engine, with one that hangs and with one that resets). Nothing in
-// the program knew when the kill may come. Now the settings' longest deadline says it
-// (`decision/shutdown_schedule.h`).
+// The failure (issue 46, A 1): one controller, one engine, 8 clients that send one request after the other on
+// connections opened before SIGTERM. The controller closed only idle clients, and a client that always has a
+// request open is never idle, so the controller never ended by itself. SIGKILL found one request of each
+// client read and unanswered (8 of 8 lost with a healthy engine, with one that hangs and with one that
+// resets). The program did not know when SIGKILL may come; now it derives that time from the longest deadline
+// in the settings (`decision/shutdown_schedule.h`).
 #include <gtest/gtest.h>
 #include <signal.h>
 #include <thrift/Thrift.h>
@@ -24,9 +24,9 @@
 
 using Kind = FrontAnswer::Kind;
 
-constexpr milliseconds kLoadBefore{300};
-constexpr milliseconds kRequestsKeepComing{600};  // on open connections, by the operators' page
-constexpr milliseconds kAnswerGrace{500};         // after a request's time: later is lost
+constexpr milliseconds kLoadTimeBeforeShutdown{300};
+constexpr milliseconds kRequestsKeepComing{600};  // on open connections, as the operators' page says
+constexpr milliseconds kAnswerGrace{500};         // after a request's deadline; a later answer is a lost one
 const char* const kClasses[] = {"lookup", "load", "once"};
 
 enum class EngineFault { kNone, kHangs, kResets, kFails, kCutsAnswers };
@@ -59,11 +59,11 @@
     start();
   }
 
-  void expect_own_end(const Shutdown& shutdown) const {
+  void expect_ended_by_itself(const Shutdown& shutdown) const {
     EXPECT_EQ(shutdown.exit_code, 0) << "SIGKILL found it running\n" << controller->log();
     EXPECT_NE(controller->log().find(": stopping\n"), std::string::npos) << controller->log();
-    EXPECT_LT(stop_by_log(controller->log()), earliest_kill(deadline));
-    EXPECT_LT(shutdown.over_at - shutdown.asked_at, earliest_kill(deadline) + kLeakCheck);
+    EXPECT_LT(stop_duration_in_log(controller->log()), earliest_kill(deadline));
+    EXPECT_LT(shutdown.ended_at - shutdown.sigterm_at, earliest_kill(deadline) + kLeakCheck);
     EXPECT_EQ(controller->log().find("counter violations."), std::string::npos) << controller->log();
   }
 
@@ -81,19 +81,20 @@
   std::vector<std::unique_ptr<ProbeClient>> clients;
   for (int i = 0; i < kClients; ++i)
     clients.push_back(std::make_unique<ProbeClient>(controller->address(), kClasses[i % 3], deadline));
-  std::this_thread::sleep_for(kLoadBefore);
+  std::this_thread::sleep_for(kLoadTimeBeforeShutdown);
   const Shutdown shutdown = shut_down(*controller, deadline);
-  expect_own_end(shutdown);
+  expect_ended_by_itself(shutdown);
   for (const auto& client : clients) {
     client->join();
     for (const ProbedRequest& request : client->requests()) {
-      const auto after = std::chrono::duration_cast<milliseconds>(request.sent_at - shutdown.asked_at);
+      const auto after = std::chrono::duration_cast<milliseconds>(request.sent_at - shutdown.sigterm_at);
       EXPECT_NE(request.answer, Kind::kClosed) << "lost: sent " << after.count() << " ms after SIGTERM";
       EXPECT_LT(request.answered_at - request.sent_at, deadline + kAnswerGrace);
-      // The module refuses what a sanitized engine can't serve within 0.1 s (`queries.refused.decision`).
+      // A sanitized engine can't serve within 0.1 s, so the decision module refuses such requests
+      // (`queries.refused.decision`).
       const bool has_time = !kSanitized || deadline >= milliseconds(500);
-      const bool served_for_sure = has_time && fault == EngineFault::kNone && after < kRequestsKeepComing;
-      if (served_for_sure) {
+      const bool must_be_served = has_time && fault == EngineFault::kNone && after < kRequestsKeepComing;
+      if (must_be_served) {
         EXPECT_EQ(request.answer, Kind::kServed) << "sent " << after.count() << " ms after SIGTERM";
       }
     }
@@ -112,7 +113,8 @@
 
 class Stopping : public ShutdownFixture {};
 
-// Requests that were read are answered; those behind the end of the reading are all the last ones.
+// Guards against an answer that is missing for a request which was read: only the requests after the last one
+// that was read may go without.
 TEST_F(Stopping, APipeliningClientGetsAnAnswerToAllThatWasRead) {
   constexpr int kOpenAtOnce = 8;
   engine([](const HttpCall& call) { return answer_with(EngineFault::kNone, call); });
@@ -137,17 +139,17 @@
         ++sent;
       }
     } catch (const apache::thrift::TException&) {
-      return;  // the controller has ended the connection
+      return;  // the controller has closed the connection
     }
   });
-  std::this_thread::sleep_for(kLoadBefore);
+  std::this_thread::sleep_for(kLoadTimeBeforeShutdown);
   std::thread in_time([&] {
     std::this_thread::sleep_for(kRequestsKeepComing);
     sent_in_time = sent.load();
   });
   const Shutdown shutdown = shut_down(*controller, deadline);
   for (std::thread* thread : {&in_time, &writer, &reader}) thread->join();
-  expect_own_end(shutdown);
+  expect_ended_by_itself(shutdown);
   EXPECT_GE(answers, sent_in_time);
   const std::string log = controller->log();
   EXPECT_NE(log.find("counter queries.taken " + std::to_string(answers) + "\n"), std::string::npos)
@@ -155,33 +157,35 @@
       << log;
 }
 
-// Guards against a request whose first half came before SIGTERM and whose rest comes in time.
+// Guards against the loss of a request whose first half arrived before SIGTERM and whose rest arrives in
+// time.
 TEST_F(Stopping, HalfARequestIsWaitedForAsLongAsRequestsKeepComing) {
   engine(serve_all);
   start_with_deadline(milliseconds(500));
   FrontClient client(controller->address());
-  const std::string whole = client.bytes_of_invoke(1, {{"allow", "400"}});
-  client.raw(whole.substr(0, whole.size() / 2));
+  const std::string request = client.encode_invoke(1, {{"allow", "400"}});
+  client.raw(request.substr(0, request.size() / 2));
   std::thread rest([&] {
     std::this_thread::sleep_for(milliseconds(500));
-    client.raw(whole.substr(whole.size() / 2));
+    client.raw(request.substr(request.size() / 2));
     EXPECT_EQ(client.receive().kind, Kind::kServed);
   });
   const Shutdown shutdown = shut_down(*controller, deadline);
   rest.join();
-  expect_own_end(shutdown);
+  expect_ended_by_itself(shutdown);
 }
 
 TEST_F(Stopping, HalfARequestThatNeverGetsWholeHoldsNothingUp) {
   engine(serve_all);
   start_with_deadline(milliseconds(100));
   FrontClient client(controller->address());
-  const std::string whole = client.bytes_of_invoke(1, {{"allow", "100"}});
-  client.raw(whole.substr(0, whole.size() / 2));
-  expect_own_end(shut_down(*controller, deadline));
+  const std::string request = client.encode_invoke(1, {{"allow", "100"}});
+  client.raw(request.substr(0, request.size() / 2));
+  expect_ended_by_itself(shut_down(*controller, deadline));
 }
 
-// The largest results, of which the client reads nothing: its reading is paused, and answers stay unsent.
+// The client reads none of its answers, which have the largest results there may be: the controller stops
+// reading from it, and answers stay unsent.
 TEST_F(Stopping, AClientThatReadsNothingHoldsNothingUp) {
   constexpr int kRequests = 32;
   const std::string rows = std::string(5997, 'x') + "\t\t\n";
@@ -192,16 +196,16 @@
   start_with_deadline(milliseconds(500));
   FrontClient client(controller->address());
   for (int i = 1; i <= kRequests; ++i) client.invoke(i, {{"allow", "500"}});
-  std::this_thread::sleep_for(kLoadBefore);
-  expect_own_end(shut_down(*controller, deadline));
+  std::this_thread::sleep_for(kLoadTimeBeforeShutdown);
+  expect_ended_by_itself(shut_down(*controller, deadline));
 }
 
 TEST_F(Stopping, SignalsInSeriesChangeNothing) {
   engine([](const HttpCall& call) { return answer_with(EngineFault::kNone, call); });
   start_with_deadline(milliseconds(500));
   ProbeClient client(controller->address(), "lookup", deadline);
-  std::this_thread::sleep_for(kLoadBefore);
-  const auto asked_at = ProbeClock::now();
+  std::this_thread::sleep_for(kLoadTimeBeforeShutdown);
+  const auto sigterm_at = ProbeClock::now();
   controller->signal(SIGHUP);
   controller->signal(SIGTERM);
   std::thread series([this] {
@@ -210,14 +214,15 @@
       controller->signal(i % 2 == 0 ? SIGHUP : SIGTERM);
     }
   });
-  const Shutdown shutdown = wait_for_shutdown(*controller, asked_at, deadline);
+  const Shutdown shutdown = wait_for_shutdown(*controller, sigterm_at, deadline);
   series.join();
   client.join();
-  expect_own_end(shutdown);
+  expect_ended_by_itself(shutdown);
   for (const ProbedRequest& request : client.requests()) EXPECT_EQ(request.answer, Kind::kServed);
 }
 
-// Before the program holds its signals, SIGTERM ends it as any other; from then on it is a planned stop.
+// Until the program has blocked its signals, SIGTERM kills it as it would any process; from then on it is a
+// planned stop.
 TEST_F(Stopping, ASignalDuringTheStartEndsItInTime) {
   engine(serve_all);
   deadline = milliseconds(100);
@@ -231,49 +236,51 @@
     ControllerProcess starting({{"BALANCER_CONFIG", path}});
     std::this_thread::sleep_for(milliseconds(delay));
     const Shutdown shutdown = shut_down(starting, deadline);
-    const bool before_it_held_signals = shutdown.exit_code == 128 + SIGTERM;
-    EXPECT_TRUE(shutdown.exit_code == 0 || before_it_held_signals)
+    const bool killed_before_signals_were_blocked = shutdown.exit_code == 128 + SIGTERM;
+    EXPECT_TRUE(shutdown.exit_code == 0 || killed_before_signals_were_blocked)
         << shutdown.exit_code << " at " << delay << " ms\n"
         << starting.log();
   }
   std::filesystem::remove(path);
 }
 
-// A process that stood still as the signal came does not know when: it counts from before.
+// A process that was stopped (SIGSTOP) when SIGTERM came does not know when that was: it counts from a time
+// before the stop.
 TEST_F(Stopping, ASignalWhileTheProcessStandsStillCountsFromThen) {
-  constexpr milliseconds kStill{400};
+  constexpr milliseconds kStoppedTime{400};
   engine([](const HttpCall& call) { return answer_with(EngineFault::kNone, call); });
   start_with_deadline(milliseconds(500));
   ProbeClient client(controller->address(), "lookup", deadline);
-  std::this_thread::sleep_for(kLoadBefore);
+  std::this_thread::sleep_for(kLoadTimeBeforeShutdown);
   controller->signal(SIGSTOP);
-  const auto asked_at = ProbeClock::now();
+  const auto sigterm_at = ProbeClock::now();
   controller->signal(SIGTERM);
-  std::this_thread::sleep_for(kStill);
+  std::this_thread::sleep_for(kStoppedTime);
   controller->signal(SIGCONT);
-  const Shutdown shutdown = wait_for_shutdown(*controller, asked_at, deadline);
+  const Shutdown shutdown = wait_for_shutdown(*controller, sigterm_at, deadline);
   client.join();
-  expect_own_end(shutdown);
+  expect_ended_by_itself(shutdown);
   for (const ProbedRequest& request : client.requests()) EXPECT_NE(request.answer, Kind::kClosed);
 }
 
-// Idle clients have all places: who has one and asks is served, and who waits for one holds nothing up.
+// Idle clients take all places: a client that has a place and sends requests is served, and clients that wait
+// for a place do not delay the stop.
 TEST_F(Stopping, AFullHouseHoldsNothingUp) {
   engine([](const HttpCall& call) { return answer_with(EngineFault::kNone, call); });
   options.sockets = 60;
   start_with_deadline(milliseconds(500));
-  ProbeClient asks(controller->address(), "lookup", deadline);
+  ProbeClient active(controller->address(), "lookup", deadline);
   std::vector<std::unique_ptr<FrontClient>> idle;
   for (int i = 0; i < 40; ++i) idle.push_back(std::make_unique<FrontClient>(controller->address()));
-  std::this_thread::sleep_for(kLoadBefore);
+  std::this_thread::sleep_for(kLoadTimeBeforeShutdown);
   const Shutdown shutdown = shut_down(*controller, deadline);
-  asks.join();
-  expect_own_end(shutdown);
-  for (const ProbedRequest& request : asks.requests()) EXPECT_EQ(request.answer, Kind::kServed);
+  active.join();
+  expect_ended_by_itself(shutdown);
+  for (const ProbedRequest& request : active.requests()) EXPECT_EQ(request.answer, Kind::kServed);
 }
 
-// An attempt that may have run is out at the end: its request fails, as a refusal would call another try
-// harmless.
+// An attempt that may have run is still in flight at the end: its request has to fail, because a refusal
+// would say that a retry is harmless.
 TEST_F(Stopping, WhatMayHaveRunFailsAndIsNotRefused) {
   engine([](const HttpCall& call) { return answer_with(EngineFault::kHangs, call); });
   start_with_deadline(milliseconds(10'000));
@@ -283,7 +290,7 @@
   std::thread reader([&] { EXPECT_EQ(client.receive().kind, Kind::kFailed); });
   const Shutdown shutdown = shut_down(*controller, deadline);
   reader.join();
-  expect_own_end(shutdown);
+  expect_ended_by_itself(shutdown);
 }
 
 }  // namespace
--- a/tests/integration/stepped_clock_test.cpp
+++ b/tests/integration/stepped_clock_test.cpp
@@ -1,5 +1,6 @@
-// A controller whose wall clock is stepped, and starts that are overtaken by time on their way (incident 39,
-// docs/incidents/stepped-clock.md): what may be repeated, answered and sent goes by real time.
+// A controller whose wall clock is stepped, and attempts whose time runs out before they are sent (incident
+// 39, docs/incidents/stepped-clock.md): retries, answers and sends have to follow elapsed time, not the wall
+// clock.
 #include <gtest/gtest.h>
 #include <signal.h>
 
@@ -23,9 +24,9 @@
 constexpr std::int64_t kSecondUs = 1'000'000;
 constexpr std::int64_t kHourUs = 3600 * kSecondUs;
 constexpr milliseconds kRepeatWindow{1500};
-constexpr milliseconds kNewsHold{100};
+constexpr milliseconds kPollHold{100};
 
-// A class that every engine deduplicates for 1.5 s, and one that may be repeated at will.
+// A class that every engine deduplicates for 1.5 s, and an idempotent one.
 constexpr const char* kSettings =
     R"({"balancers":1,"me":0,"myZone":"z","classes":[)"
     R"({"name":"load","aim":8000000,"deadline":10000000,"effect":"deduplicated","keyScope":"all",)"
@@ -36,8 +37,8 @@
     R"("connectTimeout":3000000},"rules":{"stopSendingWithin":1000000},)"
     R"("tenants":[{"name":"acme","portion":1,"quotaPerS":100}]})";
 
-HttpReply not_yet() {
-  std::this_thread::sleep_for(kNewsHold);
+HttpReply pending_after_hold() {
+  std::this_thread::sleep_for(kPollHold);
   return reply(202);
 }
 
@@ -58,50 +59,52 @@
 
   void TearDown() override {
     controller.reset();
-    engines.clear();  // their scripts look at what follows
+    engines.clear();  // their scripts use the members below
   }
 
   std::atomic<bool> window_is_over{false};
-  std::atomic<int> lookups_to_end{0};
+  std::atomic<int> lookups_to_serve{0};
   std::mutex mutex;
   std::vector<Clock::time_point> starts_of_load;
   faults::FaultSwitch faults;
 };
 
-// The incident: the engine ends the attempt with an error that says nothing of its effect, after its window.
+// The incident: after the repeat window has ended, the engine ends the attempt with an error that does not
+// say whether the query took effect.
 TEST_F(SteppedClock, AKeyedQueryIsNotRepeatedAfterItsWindowThoughTheWallClockWentBack) {
-  HttpStandIn& only = engine([this](const HttpCall& call) {
+  HttpStandIn& only_engine = engine([this](const HttpCall& call) {
     if (call.method == "DELETE") return reply(204);
-    return window_is_over ? reply(500) : not_yet();
+    return window_is_over ? reply(500) : pending_after_hold();
   });
   start_with_faults();
   FrontClient client(controller->address());
   client.invoke(1, load("8000", "2500"));
-  ASSERT_TRUE(only.wait_for("POST", "/v2/q"));
+  ASSERT_TRUE(only_engine.wait_for("POST", "/v2/q"));
   faults.step_wall_clock(-kHourUs);
   std::this_thread::sleep_for(kRepeatWindow + milliseconds(300));
   window_is_over = true;
-  EXPECT_EQ(client.receive().kind, Kind::kRefused);  // every engine drops a repeat: another try is harmless
-  EXPECT_EQ(only.count("POST"), 1);
+  // Refused, not failed: every engine drops a repeat, so a retry by the client is harmless.
+  EXPECT_EQ(client.receive().kind, Kind::kRefused);
+  EXPECT_EQ(only_engine.count("POST"), 1);
 }
 
 TEST_F(SteppedClock, AnAnswerIsGivenByTheDeadlineThoughTheWallClockWentBack) {
-  HttpStandIn& only =
-      engine([](const HttpCall& call) { return call.method == "DELETE" ? reply(204) : not_yet(); });
+  HttpStandIn& only_engine = engine(
+      [](const HttpCall& call) { return call.method == "DELETE" ? reply(204) : pending_after_hold(); });
   start_with_faults();
   FrontClient client(controller->address());
-  const auto begun = Clock::now();
+  const auto sent_at = Clock::now();
   client.invoke(1, load("1000", "2500"));
-  ASSERT_TRUE(only.wait_for("POST", "/v2/q"));
+  ASSERT_TRUE(only_engine.wait_for("POST", "/v2/q"));
   faults.step_wall_clock(-3 * kSecondUs);
   EXPECT_EQ(client.receive().kind, Kind::kRefused);
-  EXPECT_LT(Clock::now() - begun, milliseconds(1300));
+  EXPECT_LT(Clock::now() - sent_at, milliseconds(1300));
 }
 
-// The loop's wait is interrupted as the wall clock goes back: the change log refuses connections and the
-// engine is silent, so that timers alone bring the loop back.
+// The event loop's wait is interrupted while the wall clock goes back. The change log refuses connections and
+// the engine is silent, so that only timers wake the loop up.
 TEST_F(SteppedClock, TimersFireThoughTheLoopsWaitIsInterruptedAsTheWallClockGoesBack) {
-  HttpStandIn& only = engine([](const HttpCall&) {
+  HttpStandIn& only_engine = engine([](const HttpCall&) {
     HttpReply silent;
     silent.way = HttpReply::Way::kSilent;
     return silent;
@@ -109,9 +112,9 @@
   options.change_log = "127.0.0.1:2";  // nobody listens there
   start_with_faults();
   FrontClient client(controller->address());
-  const auto begun = Clock::now();
+  const auto sent_at = Clock::now();
   client.invoke(1, load("1500", "2500"));
-  ASSERT_TRUE(only.wait_for("POST", "/v2/q"));
+  ASSERT_TRUE(only_engine.wait_for("POST", "/v2/q"));
   for (int i = 0; i < 10; ++i) {
     controller->signal(SIGSTOP);
     std::this_thread::sleep_for(milliseconds(10));
@@ -120,32 +123,32 @@
     std::this_thread::sleep_for(milliseconds(50));
   }
   EXPECT_NE(client.receive().kind, Kind::kClosed);
-  EXPECT_LT(Clock::now() - begun, milliseconds(1800));
+  EXPECT_LT(Clock::now() - sent_at, milliseconds(1800));
 }
 
-// The window ends while the repeat waits for a descriptor: all that starts may have are taken, and a query
-// more is in line before it. A start waits for 0.35 s at the most. No clock is stepped.
+// The repeat window ends while the repeat waits for a descriptor: all descriptors for attempts are in use,
+// and one more query is queued before it. A start waits for 0.35 s at the most. No clock is stepped.
 TEST_F(SteppedClock, ARepeatThatGetsItsConnectionAfterItsWindowIsNotSent) {
   constexpr int kSockets = 32;
   constexpr int kStartsAtOnce = 12;
-  constexpr const char* kOverdueAfter1300Ms = "325";  // a fourth of it
+  constexpr const char* kEffortOverdueAfter1300Ms = "325";  // ms, a fourth of that time
   const auto script = [this](const HttpCall& call) {
-    const auto id = call.headers.find("Call-Kind");
-    if (id != call.headers.end() && id->second == "load") {
+    const auto kind = call.headers.find("Call-Kind");
+    if (kind != call.headers.end() && kind->second == "load") {
       const std::lock_guard lock(mutex);
       starts_of_load.push_back(Clock::now());
     }
     if (call.method == "DELETE") return reply(204);
-    const bool of_the_load = call.path.find("00000001/") != std::string::npos;
-    if (call.method == "GET" && !of_the_load && lookups_to_end-- > 0) return served("a\tb\tc\n");
-    return call.method == "GET" ? not_yet() : reply(202);
+    const bool is_load = call.path.find("00000001/") != std::string::npos;
+    if (call.method == "GET" && !is_load && lookups_to_serve-- > 0) return served("a\tb\tc\n");
+    return call.method == "GET" ? pending_after_hold() : reply(202);
   };
   HttpStandIn& first = engine(script);
   HttpStandIn second(script);
   options.sockets = kSockets;
   start_with_faults();
   FrontClient client(controller->address());
-  client.invoke(1, load("8000", kOverdueAfter1300Ms));
+  client.invoke(1, load("8000", kEffortOverdueAfter1300Ms));
   ASSERT_TRUE(first.wait_for("POST", "/v2/q"));
   const auto sent = Clock::now();
   change_log.tell(member("s-second", second.address()));
@@ -157,7 +160,7 @@
   ASSERT_TRUE(first.wait_for("DELETE", client.reference_of(1)));
   std::this_thread::sleep_until(sent + kRepeatWindow + milliseconds(50));
   EXPECT_EQ(controller->counters()["attempts.sent"], kStartsAtOnce + 2) << "the repeat was not asked for";
-  lookups_to_end = 2;
+  lookups_to_serve = 2;
   FrontAnswer answer;
   do {
     answer = client.receive();
@@ -165,7 +168,7 @@
   EXPECT_EQ(answer.kind, Kind::kRefused);
   const std::lock_guard lock(mutex);
   EXPECT_EQ(starts_of_load.size(), 1U) << "sent after its window";
-  for (const auto& at : starts_of_load) EXPECT_LT(at - starts_of_load.front(), kRepeatWindow);
+  for (const auto& started_at : starts_of_load) EXPECT_LT(started_at - starts_of_load.front(), kRepeatWindow);
 }
 
 }  // namespace
