--- a/tests/faults/fault_switch.cpp
+++ b/tests/faults/fault_switch.cpp
@@ -20,10 +20,10 @@
   const int fd = ::mkstemp(file_name.data());
   path_ = file_name;
   if (fd < 0 || ::ftruncate(fd, sizeof(FaultPage)) != 0)
-    throw std::runtime_error("cannot create the fault page file");
+    throw std::runtime_error("cannot create the file for the fault page");
   void* address = ::mmap(nullptr, sizeof(FaultPage), PROT_READ | PROT_WRITE, MAP_SHARED, fd, 0);
   ::close(fd);
-  if (address == MAP_FAILED) throw std::runtime_error("cannot map the fault page file");
+  if (address == MAP_FAILED) throw std::runtime_error("cannot map the file for the fault page");
   page_ = new (address) FaultPage;
 }
 
--- a/tests/integration/cold_engine_test.cpp
+++ b/tests/integration/cold_engine_test.cpp
@@ -59,9 +59,10 @@
 
   // How many calls, each of kWorkS, the settings allow the engine within kWindowS at that age.
   double budget(double age_s) const {
-    const double warmth = std::clamp(age_s / kSlowStartS, 0.0, 1.0);
+    const double slow_start_progress = std::clamp(age_s / kSlowStartS, 0.0, 1.0);
     return kOverloadMultiple * kCores *
-           (kSlowStartInitialCapacity + (1 - kSlowStartInitialCapacity) * warmth) * kWindowS / kWorkS;
+           (kSlowStartInitialCapacity + (1 - kSlowStartInitialCapacity) * slow_start_progress) * kWindowS /
+           kWorkS;
   }
 
   std::mutex mutex;
@@ -127,7 +128,7 @@
   }
   for (auto& client : clients) client.join();
 
-  std::sort(arrivals.start_controller(), arrivals.end());
+  std::sort(arrivals.begin(), arrivals.end());
   ASSERT_FALSE(arrivals.empty()) << "no controller sent it anything: the test shows nothing";
   EXPECT_GT(answered, 20 * processes);
   double worst = 0;
--- a/tests/integration/controller_test.cpp
+++ b/tests/integration/controller_test.cpp
@@ -1,4 +1,5 @@
-// `orchidgw` as it is run: clients in front, stand-in engines behind, a stand-in change log beside it.
+// The program as it is deployed, as a process of its own, with real clients, stand-in engines and a stand-in
+// change log.
 #include <Poco/Net/ServerSocket.h>
 #include <gtest/gtest.h>
 #include <signal.h>
@@ -16,14 +17,15 @@
 
 using Kind = FrontAnswer::Kind;
 
-HttpReply way(HttpReply::Way how, std::string raw = "") {
-  HttpReply r;
-  r.way = how;
-  r.body = std::move(raw);
-  return r;
+// A reply that fails in this manner; `bytes` is all that a raw reply sends.
+HttpReply misbehave(HttpReply::Way how, std::string bytes = "") {
+  HttpReply result;
+  result.way = how;
+  result.body = std::move(bytes);
+  return result;
 }
 
-// The largest result there may be.
+// The largest result that is allowed.
 HttpReply serve_eight_pages(const HttpCall& call) {
   const std::string page = std::string(5997, 'x') + "\t\t\n";
   if (call.method == "POST") return served(page, 8);
@@ -32,22 +34,23 @@
 
 class Running : public RunningFixture {
  protected:
+  // Sends one query on a connection of its own.
   FrontAnswer ask(const std::map<std::string, std::string>& more = {}) {
     FrontClient client(controller->address());
     client.invoke(1, more);
-    asked = client.reference_of(1);
+    last_reference = client.reference_of(1);
     return client.receive();
   }
 
-  // Nothing is open any more: what a soak must come back to.
-  void expect_all_given_back() {
+  // Every connection, query, call and buffer has been released: the state that a soak has to end in.
+  void expect_all_released() {
     EXPECT_TRUE(controller->wait_for_counter("connections.clients", 0));
     EXPECT_TRUE(controller->wait_for_counter("queries.open", 0));
     EXPECT_TRUE(controller->wait_for_counter("calls.open", 0));
     EXPECT_TRUE(controller->wait_for_counter("buffers", 0));
   }
 
-  std::string asked;  // the reference of the last query
+  std::string last_reference;  // of the last query that ask() sent
 };
 
 TEST_F(Running, ServesAQueryOfSeveralPages) {
@@ -65,11 +68,11 @@
   const auto calls = engines[0]->calls();
   ASSERT_EQ(calls.size(), 4U);
   EXPECT_EQ(calls[0].method, "POST");
-  EXPECT_EQ(calls[0].headers.at("Call-Id"), asked);
+  EXPECT_EQ(calls[0].headers.at("Call-Id"), last_reference);
   EXPECT_EQ(calls[0].headers.at("Call-Kind"), "lookup");
   EXPECT_GT(std::stoi(calls[0].headers.at("Call-Ms")), 50000);
   EXPECT_EQ(calls[0].body, "select * from sales_3.orders");
-  EXPECT_EQ(calls[1].path, "/v2/q/" + asked + "/0");
+  EXPECT_EQ(calls[1].path, "/v2/q/" + last_reference + "/0");
   for (const auto& call : calls) EXPECT_EQ(call.connection, calls[0].connection);
 }
 
@@ -118,7 +121,7 @@
 
 TEST_F(Running, AbortLeadsToDelete) {
   engine([](const HttpCall& call) {
-    return call.method == "DELETE" ? reply(204) : way(HttpReply::Way::kSilent);
+    return call.method == "DELETE" ? reply(204) : misbehave(HttpReply::Way::kSilent);
   });
   start();
   FrontClient client(controller->address());
@@ -127,13 +130,13 @@
   client.abort(1);
   EXPECT_TRUE(engines[0]->wait_for("DELETE", "/v2/q/" + client.reference_of(1)));
   client.ping(2);
-  EXPECT_EQ(client.receive().kind, Kind::kPong);  // and nothing before it
+  EXPECT_EQ(client.receive().kind, Kind::kPong);  // and no answer before it
   EXPECT_TRUE(controller->wait_for_counter("queries.open", 0));
 }
 
 TEST_F(Running, AClientThatLeavesLeadsToDelete) {
   engine([](const HttpCall& call) {
-    return call.method == "DELETE" ? reply(204) : way(HttpReply::Way::kSilent);
+    return call.method == "DELETE" ? reply(204) : misbehave(HttpReply::Way::kSilent);
   });
   start();
   FrontClient client(controller->address());
@@ -143,12 +146,13 @@
   EXPECT_TRUE(engines[0]->wait_for("DELETE", "/v2/q/" + client.reference_of(1)));
 }
 
-// 200 of 200 held queries waited out their 30 s for an engine that had been late for a moment.
+// Guards against held queries that are not sent again to the only engine after it was late for a moment: 200
+// of 200 of them waited out their 30 s.
 TEST_F(Running, TheOnlyEngineIsTriedAgainByThoseThatLostTheirTry) {
-  const auto heard = std::make_shared<std::atomic<int>>(0);
-  engine([heard](const HttpCall& call) {
-    if (call.method == "DELETE") return ++*heard, reply(204);
-    return *heard < 3 ? way(HttpReply::Way::kSilent) : served("x\ty\tz\n");
+  const auto cancels_seen = std::make_shared<std::atomic<int>>(0);
+  engine([cancels_seen](const HttpCall& call) {
+    if (call.method == "DELETE") return ++*cancels_seen, reply(204);
+    return *cancels_seen < 3 ? misbehave(HttpReply::Way::kSilent) : served("x\ty\tz\n");
   });
   start();
   FrontClient client(controller->address());
@@ -157,25 +161,25 @@
 }
 
 TEST_F(Running, ASilentEngineIsToldToStopBeforeTheQueryGoesElsewhere) {
-  // Whichever engine is called first stays silent.
-  const auto first = std::make_shared<std::atomic<int>>(-1);
+  // The engine that is called first stays silent.
+  const auto silent_engine = std::make_shared<std::atomic<int>>(-1);
   for (int i = 0; i < 2; ++i) {
-    engine([first, i](const HttpCall& call) {
-      int none = -1;
-      first->compare_exchange_strong(none, i);
+    engine([silent_engine, i](const HttpCall& call) {
+      int no_engine = -1;
+      silent_engine->compare_exchange_strong(no_engine, i);
       if (call.method == "DELETE") return reply(204);
-      return first->load() == i ? way(HttpReply::Way::kSilent) : served("x\ty\tz\n");
+      return silent_engine->load() == i ? misbehave(HttpReply::Way::kSilent) : served("x\ty\tz\n");
     });
   }
   start();
   EXPECT_EQ(ask().kind, Kind::kServed);
-  EXPECT_EQ(engines[static_cast<std::size_t>(first->load())]->count("DELETE"), 1);
-  EXPECT_EQ(engines[static_cast<std::size_t>(1 - first->load())]->count("POST"), 1);
+  EXPECT_EQ(engines[static_cast<std::size_t>(silent_engine->load())]->count("DELETE"), 1);
+  EXPECT_EQ(engines[static_cast<std::size_t>(1 - silent_engine->load())]->count("POST"), 1);
 }
 
 TEST_F(Running, AnAnswerThatIsResetIsAskedForAgain) {
   engine([](const HttpCall& call) {
-    return call.method == "POST" ? way(HttpReply::Way::kReset) : served("again\t1\t2\n");
+    return call.method == "POST" ? misbehave(HttpReply::Way::kReset) : served("again\t1\t2\n");
   });
   start();
   const FrontAnswer answer = ask({{"service", "once"}});
@@ -199,19 +203,19 @@
       "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n",
       "HTTP/1.1 200 OK\r\nContent-Length: 7000\r\n\r\n",
       "HTTP/1.1 200 OK\r\nContent-Length: 6\r\n\r\nx\ty\tz\n",         // no X-Pages
-      "HTTP/1.1 200 OK\r\nX-Pages: 1\r\nContent-Length: 2\r\n\r\nxy",  // half a row
+      "HTTP/1.1 200 OK\r\nX-Pages: 1\r\nContent-Length: 2\r\n\r\nxy",  // not a whole row
       "HTTP/1.1 200 OK\r\nX-Pages: 1\r\n\r\n",                         // no length
       std::string(20000, 'g'),
   };
-  // One engine for each: after a few errors the module would send such queries elsewhere.
+  // One engine for each: after a few errors the decision module would send such queries elsewhere.
   for (const auto& bytes : bad) {
     HttpStandIn broken([&bytes](const HttpCall& call) {
-      return call.method == "DELETE" ? reply(204) : way(HttpReply::Way::kRaw, bytes);
+      return call.method == "DELETE" ? reply(204) : misbehave(HttpReply::Way::kRaw, bytes);
     });
     options.members = {member("s-0", broken.address())};
     start();
     EXPECT_EQ(ask({{"service", "once"}}).kind, Kind::kFailed) << bytes.substr(0, 60);
-    ASSERT_TRUE(broken.wait_for("DELETE", asked));
+    ASSERT_TRUE(broken.wait_for("DELETE", last_reference));
     std::set<int> connections;
     for (const auto& call : broken.calls()) connections.insert(call.connection);
     EXPECT_EQ(connections.size(), broken.calls().size());
@@ -220,12 +224,12 @@
   }
 }
 
-// The length may have left rows out: the good end is asked for again, on another connection.
+// The given length may leave rows out, so the answer is requested again, on another connection.
 TEST_F(Running, BytesBehindRowsAreNotPassedOver) {
   engine([](const HttpCall& call) {
     if (call.method != "POST") return served("x\ty\tz\nx\ty\tz\n");
-    return way(HttpReply::Way::kRaw,
-               "HTTP/1.1 200 OK\r\nX-Pages: 1\r\nContent-Length: 6\r\n\r\nx\ty\tz\nx\ty\tz\n");
+    return misbehave(HttpReply::Way::kRaw,
+                     "HTTP/1.1 200 OK\r\nX-Pages: 1\r\nContent-Length: 6\r\n\r\nx\ty\tz\nx\ty\tz\n");
   });
   start();
   EXPECT_EQ(ask({{"service", "once"}}).body, "x\ty\tz\nx\ty\tz\n");
@@ -287,18 +291,18 @@
       case 1:
         return reply(500);
       case 2:
-        return way(HttpReply::Way::kReset);
+        return misbehave(HttpReply::Way::kReset);
       case 3:
         return reply(200, {}, R"({"seq":1,"results":[{"seq":1,"fleet":{"complete":true,"members":[]}},7]})");
       default:
-        return way(HttpReply::Way::kRaw, "garbage\r\n\r\n");
+        return misbehave(HttpReply::Way::kRaw, "garbage\r\n\r\n");
     }
   });
   options.change_log = nonsense.address();
   start();
   int calls = 0;
   ASSERT_TRUE(nonsense.wait_for([&calls](const HttpCall&) { return ++calls > 200; }));
-  EXPECT_EQ(ask().kind, Kind::kServed);  // event 1 was known: its empty list came too late to count
+  EXPECT_EQ(ask().kind, Kind::kServed);  // event 1 is already in the configuration: its empty list is ignored
 }
 
 TEST_F(Running, AChangeLogThatFallsSilentIsAskedAnew) {
@@ -306,7 +310,7 @@
   engine(serve_all);
   const std::string drained = member("s-0", engines[0]->address(), "terminating");
   HttpStandIn silent_once([drained, n = std::make_shared<std::atomic<int>>(0)](const HttpCall&) {
-    if (n->fetch_add(1) == 0) return way(HttpReply::Way::kSilent);
+    if (n->fetch_add(1) == 0) return misbehave(HttpReply::Way::kSilent);
     return reply(200, {}, R"({"seq":2,"results":[{"seq":2,"fleet":{"members":[)" + drained + "]}}]}");
   });
   options.change_log = silent_once.address();
@@ -317,13 +321,13 @@
   EXPECT_EQ(engines[0]->count("POST"), 0);
 }
 
-// A machine that vanished: its address takes no connection and refuses none.
+// A machine that has vanished: its address neither accepts nor refuses connections.
 TEST_F(Running, AnEngineWhoseConnectionsNeverComeUpIsLeftForAnother) {
   Poco::Net::ServerSocket vanished;
   vanished.bind(Poco::Net::SocketAddress("127.0.0.1:0"), true);
   vanished.listen(1);
-  std::vector<Poco::Net::StreamSocket> filling(8);  // its line is full, nobody accepts
-  for (auto& socket : filling) socket.connectNB(vanished.address());
+  std::vector<Poco::Net::StreamSocket> backlog_fillers(8);  // fill its backlog; nobody accepts
+  for (auto& socket : backlog_fillers) socket.connectNB(vanished.address());
   engine(serve_all);
   options.members.push_back(member("s-v", vanished.address().toString()));
   start();
@@ -345,7 +349,7 @@
   client.ping(1);
   ASSERT_EQ(client.receive().kind, Kind::kPong);
   ChangeLogStandIn next;
-  next.tell(member("s-9", "127.0.0.1:1", "terminated"));  // seen already
+  next.tell(member("s-9", "127.0.0.1:1", "terminated"));  // already applied
   next.tell(member("s-0", engines[0]->address(), "terminating"));
   options.change_log = next.address();
   controller->configure(options);
@@ -353,7 +357,7 @@
   ASSERT_TRUE(next.server().wait_for("GET", "/changes?since=2&"));
   ASSERT_TRUE(controller->wait_for_counter("list.changes", 3));
   for (int i = 2; i < 8; ++i) {
-    client.invoke(i);  // the connection stays
+    client.invoke(i);  // the connection stays open
     EXPECT_EQ(client.receive().kind, Kind::kServed);
   }
   EXPECT_EQ(engines[0]->count("POST"), 0);
@@ -378,35 +382,35 @@
   EXPECT_EQ(controller->counters().at("config.reloads_failed"), 2);
 }
 
-// Guards against a stop that waits for clients which ask for nothing.
+// Guards against a stop that waits for clients which send no request.
 TEST_F(Running, AStopWaitsForNoSilentClient) {
   engine(serve_all);
   start();
   FrontClient silent(controller->address());
-  FrontClient half(controller->address());
-  half.ping(1);
-  ASSERT_EQ(half.receive().kind, Kind::kPong);
-  half.raw(std::string("\x00\x00\x10\x00half", 8));
+  FrontClient partial(controller->address());
+  partial.ping(1);
+  ASSERT_EQ(partial.receive().kind, Kind::kPong);
+  partial.raw(std::string("\x00\x00\x10\x00half", 8));
   controller->signal(SIGTERM);
   EXPECT_EQ(controller->wait_exit(), 0);
   EXPECT_NE(controller->log().find("client_ends.shut_down 2"), std::string::npos);
 }
 
-// Guards against connections that hold a place for nothing.
+// Guards against connections that take up a place without ever sending a request.
 TEST_F(Running, SilentNewcomersAndUnfinishedFramesAreClosed) {
   engine(serve_all);
   start();
   FrontClient silent(controller->address());
-  FrontClient half(controller->address());
-  half.ping(1);
-  ASSERT_EQ(half.receive().kind, Kind::kPong);
-  half.raw(std::string("\x00\x00\x10\x00half", 8));
+  FrontClient partial(controller->address());
+  partial.ping(1);
+  ASSERT_EQ(partial.receive().kind, Kind::kPong);
+  partial.raw(std::string("\x00\x00\x10\x00half", 8));
   EXPECT_EQ(silent.receive().kind, Kind::kClosed);
-  EXPECT_EQ(half.receive().kind, Kind::kClosed);
+  EXPECT_EQ(partial.receive().kind, Kind::kClosed);
   EXPECT_TRUE(controller->wait_for_counter("client_ends.silent", 2));
 }
 
-// Guards against silent connections by the hundred, which took all places for clients.
+// Guards against a hundred silent connections, which took all places for clients.
 TEST_F(Running, SilentConnectionsKeepNobodyOut) {
   engine(serve_all);
   options.sockets = 48;
@@ -418,7 +422,7 @@
   EXPECT_LE(descriptors_of(controller->pid()), 48U);
 }
 
-// Guards against clients that send what can't be used as fast as it is turned away.
+// Guards against clients that send invalid requests as fast as they are rejected.
 TEST_F(Running, WhoSendsNothingUsableIsClosed) {
   engine(serve_all);
   start();
@@ -438,12 +442,12 @@
   EXPECT_EQ(controller->counters()["client_ends.too_much"], 1);
 }
 
-// Guards against a change log that sends more than there is memory for.
+// Guards against a change log whose answer is larger than the memory that there is for it.
 TEST_F(Running, AnAnswerOfTheChangeLogHasABound) {
   engine(serve_all);
   HttpStandIn endless([](const HttpCall&) { return reply(200, {}, std::string(40000, ' ')); });
   options.change_log = endless.address();
-  options.memory_mb = 2;  // 32 KiB of that for an answer
+  options.memory_mb = 2;  // of which 32 KiB are for an answer of the change log
   start();
   ASSERT_TRUE(endless.wait_for([n = 0](const HttpCall&) mutable { return ++n == 3; }));
   const auto counters = controller->counters();
@@ -452,10 +456,10 @@
   EXPECT_EQ(ask().kind, Kind::kServed);
 }
 
-// Guards against memory filled with halves of frames.
+// Guards against memory that fills up with incomplete frames.
 TEST_F(Running, UnfinishedFramesShareABound) {
   engine(serve_all);
-  options.memory_mb = 8;  // half a MB for frames
+  options.memory_mb = 8;  // of which half a MB is for incomplete frames
   start();
   std::vector<std::unique_ptr<FrontClient>> clients;
   for (int i = 0; i < 20; ++i) {
@@ -466,19 +470,20 @@
       continue;
     }
   }
-  std::size_t too_much = 0;
+  std::size_t closed_by_limit = 0;
   for (auto& client : clients) EXPECT_EQ(client->receive().kind, Kind::kClosed);
-  too_much = static_cast<std::size_t>(controller->counters()["client_ends.too_much"]);
-  EXPECT_GT(too_much, 0U);
+  closed_by_limit = static_cast<std::size_t>(controller->counters()["client_ends.too_much"]);
+  EXPECT_GT(closed_by_limit, 0U);
 }
 
 TEST_F(Running, AStopServesWhatIsOpenAndWhatStillComes) {
   std::mutex mutex;
   std::condition_variable changed;
-  bool let_go = false;
+  bool may_answer = false;
   engine([&](const HttpCall&) {
     std::unique_lock lock(mutex);
-    if (!changed.wait_for(lock, std::chrono::milliseconds(200), [&] { return let_go; })) return reply(202);
+    if (!changed.wait_for(lock, std::chrono::milliseconds(200), [&] { return may_answer; }))
+      return reply(202);
     return served("x\ty\tz\n");
   });
   start();
@@ -496,7 +501,7 @@
   }));
   {
     const std::lock_guard lock(mutex);
-    let_go = true;
+    may_answer = true;
     changed.notify_all();
   }
   EXPECT_EQ(client.receive().kind, Kind::kServed);
@@ -539,7 +544,7 @@
       std::string("\x7f\xff\xff\xff", 4),                                   // too large
       std::string("\xff\xff\xff\xff", 4),                                   // negative
       std::string("\x00\x00\x00\x04\x00\x00\x00\x00", 8),                   // wrong version
-      std::string("\x00\x00\x00\x08\x80\x01\x00\x01\x7f\xff\xff\xff", 12),  // an endless name
+      std::string("\x00\x00\x00\x08\x80\x01\x00\x01\x7f\xff\xff\xff", 12),  // a name of 2 GiB
       std::string("\x00\x00\x00\x00", 4)};
   for (const auto& bytes : bad) {
     FrontClient client(controller->address());
@@ -557,7 +562,7 @@
     FrontClient client(controller->address());
     client.raw(std::string("\x00\x00\x10\x00half", 8));
   }
-  expect_all_given_back();
+  expect_all_released();
   EXPECT_EQ(ask().kind, Kind::kServed);
 }
 
@@ -576,7 +581,7 @@
     EXPECT_EQ(client->receive().kind, Kind::kServed);
     client->close();
   }
-  expect_all_given_back();
+  expect_all_released();
 }
 
 TEST_F(Running, LittleMemoryStopsReadingNotTheProcess) {
@@ -593,7 +598,7 @@
   for (int i = 0; i < 20; ++i) clients.emplace_back(ask_for_much);
   for (auto& client : clients) client.join();
   EXPECT_EQ(whole, 200);
-  expect_all_given_back();
+  expect_all_released();
 }
 
 TEST_F(Running, ClientsThatReadNothingAreClosedBeforeMemoryRunsOut) {
@@ -603,21 +608,22 @@
   std::vector<std::unique_ptr<FrontClient>> clients;
   std::int32_t tag = 0;
   for (int i = 0; i < 8; ++i) clients.push_back(std::make_unique<FrontClient>(controller->address()));
-  // Answers pile up first in the system's buffers, then in the controller's.
+  // Unread answers fill the kernel's buffers first, then the controller's.
   while (controller->log().find("reads nothing is closed") == std::string::npos && tag < 4000) {
     for (auto& client : clients) {
       try {
         for (int more = 0; more < 4; ++more) client->invoke(++tag);
       } catch (const apache::thrift::TException&) {
-        continue;  // this one has been closed
+        continue;  // the controller has closed this one
       }
     }
-    controller->wait_for_counter("queries.open", 0);  // one at a time, as far as they are read
+    // One after the other, as far as the controller reads them.
+    controller->wait_for_counter("queries.open", 0);
   }
   EXPECT_TRUE(controller->wait_for_line("reads nothing is closed"));
   for (auto& client : clients) client->close();
   EXPECT_EQ(ask().kind, Kind::kServed);
-  expect_all_given_back();
+  expect_all_released();
 }
 
 TEST_F(Running, WhereTheSystemGivesNoMoreDescriptorsWhoWaitsIsServedLater) {
@@ -634,7 +640,7 @@
 }
 
 TEST_F(Running, ASoakGivesEverythingBack) {
-  const auto mixed = [n = std::make_shared<std::atomic<int>>(0)](const HttpCall& call) {
+  const auto mixed_replies = [n = std::make_shared<std::atomic<int>>(0)](const HttpCall& call) {
     if (call.method == "DELETE") return reply(204);
     switch (n->fetch_add(1) % 11) {
       case 3:
@@ -644,27 +650,27 @@
       case 7:
         return reply(500);
       case 9:
-        return way(HttpReply::Way::kReset);
+        return misbehave(HttpReply::Way::kReset);
       default:
         return served("a\tb\tc\n");
     }
   };
-  for (int i = 0; i < 3; ++i) engine(mixed);
+  for (int i = 0; i < 3; ++i) engine(mixed_replies);
   start();
   for (int round = 0; round < 10; ++round) {
     FrontClient client(controller->address());
-    std::set<int> owed;
+    std::set<int> unanswered;
     for (int tag = 1; tag <= 30; ++tag) {
       client.invoke(tag, {{"service", tag % 4 == 0 ? "once" : "lookup"}});
-      owed.insert(tag);
+      unanswered.insert(tag);
     }
     for (int tag = 1; tag <= 30; ++tag) {
       const FrontAnswer answer = client.receive();
       ASSERT_NE(answer.kind, Kind::kClosed);
-      EXPECT_EQ(owed.erase(answer.sequence), 1U) << "answered twice: " << answer.sequence;
+      EXPECT_EQ(unanswered.erase(answer.sequence), 1U) << "answered twice: " << answer.sequence;
     }
   }
-  expect_all_given_back();
+  expect_all_released();
   const auto counters = controller->counters();
   EXPECT_EQ(counters.at("queries.taken"), 300);
   EXPECT_EQ(counters.at("queries.served") + counters.at("queries.refused") + counters.at("queries.failed"),
@@ -672,12 +678,12 @@
 }
 
 TEST(Starting, SaysWhatIsWrongAndEnds) {
-  ControllerProcess none(std::map<std::string, std::string>{});
-  EXPECT_NE(none.wait_exit(), 0);
-  EXPECT_TRUE(none.wait_for_line("BALANCER_CONFIG"));
-  ControllerProcess missing(std::map<std::string, std::string>{{"BALANCER_CONFIG", "/nonexistent"}});
-  EXPECT_NE(missing.wait_exit(), 0);
-  EXPECT_TRUE(missing.wait_for_line("BALANCER_CONFIG"));
+  ControllerProcess unconfigured(std::map<std::string, std::string>{});
+  EXPECT_NE(unconfigured.wait_exit(), 0);
+  EXPECT_TRUE(unconfigured.wait_for_line("BALANCER_CONFIG"));
+  ControllerProcess missing_file(std::map<std::string, std::string>{{"BALANCER_CONFIG", "/nonexistent"}});
+  EXPECT_NE(missing_file.wait_exit(), 0);
+  EXPECT_TRUE(missing_file.wait_for_line("BALANCER_CONFIG"));
 }
 
 TEST(Starting, APortInUseIsNamed) {
--- a/tests/integration/levels_days.cpp
+++ b/tests/integration/levels_days.cpp
@@ -25,7 +25,7 @@
 using Clock = std::chrono::steady_clock;
 using Ms = std::chrono::duration<double, std::milli>;
 
-constexpr double kScenarioMs = 16'000, kTroubleFromMs = 4'000, kOverloadToMs = 11'000;
+constexpr double kScenarioMs = 16'000, kOverloadFromMs = 4'000, kOverloadToMs = 11'000;
 constexpr int kSlots = 8;
 
 struct QueryKind {
--- a/tests/integration/limits_test.cpp
+++ b/tests/integration/limits_test.cpp
@@ -1,5 +1,5 @@
-// `orchidgw` itself under an operators' file: reloads under load, bad files, files replaced while they are
-// read, and the commands that check and explain one.
+// The program with an operators' file of limits: reloads under load, invalid files, files that are replaced
+// while they are read, and the commands that check and explain a file.
 #include <gtest/gtest.h>
 #include <signal.h>
 
@@ -20,22 +20,23 @@
 
 using Kind = FrontAnswer::Kind;
 
-const std::string kNone = "version: 1\n...\n";
+const std::string kNoLimits = "version: 1\n...\n";
 
-std::string lookups(const std::string& bounds) {
-  return "version: 1\nroutes:\n- name: lookups\n  match: {class: lookup}\n" + bounds + "...\n";
+// A file with one route, for class "lookup", with these limits.
+std::string limits_for_lookups(const std::string& limits) {
+  return "version: 1\nroutes:\n- name: lookups\n  match: {class: lookup}\n" + limits + "...\n";
 }
 
 HttpReply serve_soon(const HttpCall& call) {
-  HttpReply r;
+  HttpReply result;
   if (call.method == "DELETE") {
-    r.status = 204;
-    return r;
+    result.status = 204;
+    return result;
   }
   if (call.method == "POST") std::this_thread::sleep_for(std::chrono::milliseconds(3));
-  r.headers = {{"X-Pages", "1"}, {"X-Cost-Ms", "5"}, {"X-Needed-Mb", "4"}};
-  r.body = "a\tb\tc\n";
-  return r;
+  result.headers = {{"X-Pages", "1"}, {"X-Cost-Ms", "5"}, {"X-Needed-Mb", "4"}};
+  result.body = "a\tb\tc\n";
+  return result;
 }
 
 class Limited : public ::testing::Test {
@@ -50,6 +51,7 @@
     controller = std::make_unique<ControllerProcess>(options);
   }
 
+  // Sends SIGHUP and waits until the reload has ended; returns how many reloads have failed so far.
   long reload() {
     controller->signal(SIGHUP);
     EXPECT_TRUE(controller->wait_for_counter("config.reloads", ++reloads));
@@ -69,12 +71,12 @@
   long reloads = 0;
 };
 
-// 50 reloads, a third of them bad, while four clients ask: each question has one answer, and both sides count
-// the same.
+// 50 reloads, a third of them with an invalid file, while four clients send queries: each query has to get
+// one answer, and the engines and clients have to count the same as the controller.
 TEST_F(Limited, FiftyReloadsUnderLoadLoseAndDoubleNothing) {
   constexpr int kClients = 4;
   constexpr int kQueries = 250;
-  start(lookups("  concurrency: 3\n"));
+  start(limits_for_lookups("  concurrency: 3\n"));
   std::atomic<long> served{0}, refused{0}, failed{0}, others{0};
   std::vector<std::thread> clients;
   for (int c = 0; c < kClients; ++c) {
@@ -83,8 +85,8 @@
       for (std::int32_t n = 1; n <= kQueries; ++n) {
         client.invoke(n);
         const FrontAnswer answer = client.receive();
-        const bool mine = answer.sequence == n;
-        ++(!mine                           ? others
+        const bool in_sequence = answer.sequence == n;
+        ++(!in_sequence                    ? others
            : answer.kind == Kind::kServed  ? served
            : answer.kind == Kind::kRefused ? refused
            : answer.kind == Kind::kFailed  ? failed
@@ -92,14 +94,14 @@
       }
     });
   }
-  const std::vector<std::string> files = {lookups("  concurrency: 2\n  longest_hold: 40ms\n"),
-                                          lookups("  concurrncy: 2\n"),
-                                          lookups("  rate: {per_second: 300, burst: 20}\n  attempts: 1\n")};
-  long bad = 0;
+  const std::vector<std::string> files = {
+      limits_for_lookups("  concurrency: 2\n  longest_hold: 40ms\n"), limits_for_lookups("  concurrncy: 2\n"),
+      limits_for_lookups("  rate: {per_second: 300, burst: 20}\n  attempts: 1\n")};
+  long bad_files = 0;
   for (int i = 0; i < 50; ++i) {
-    bad += i % 3 == 1 ? 1 : 0;
+    bad_files += i % 3 == 1 ? 1 : 0;
     controller->replace_limits(files[static_cast<std::size_t>(i % 3)]);
-    EXPECT_EQ(reload(), bad);
+    EXPECT_EQ(reload(), bad_files);
   }
   for (auto& client : clients) client.join();
   EXPECT_EQ(others, 0);
@@ -124,17 +126,17 @@
 }
 
 TEST_F(Limited, ABadFileNamesEachFaultAndTheOldOneStays) {
-  start(lookups("  attempts: 1\n"), [](const HttpCall&) {
-    HttpReply r;
-    r.status = 500;
-    return r;
+  start(limits_for_lookups("  attempts: 1\n"), [](const HttpCall&) {
+    HttpReply result;
+    result.status = 500;
+    return result;
   });
-  controller->replace_limits(lookups("  timeout: 1\n  attempts: 9\n"));
+  controller->replace_limits(limits_for_lookups("  timeout: 1\n  attempts: 9\n"));
   EXPECT_EQ(reload(), 1);
   EXPECT_TRUE(
       controller->wait_for_line("limits.yaml:5:12: routes[0].timeout: a time with its unit is wanted, like "
                                 "250ms, 2s or 5m, an hour at most"));
-  controller->replace_limits(lookups("  attempts: 9\n"));
+  controller->replace_limits(limits_for_lookups("  attempts: 9\n"));
   EXPECT_EQ(reload(), 2);
   EXPECT_TRUE(
       controller->wait_for_line("limits.yaml:5:13: routes[0].attempts: over the settings' most of 3"));
@@ -144,9 +146,9 @@
   EXPECT_EQ(attempts_seen(), 1);
 }
 
-// Guards against a part that is in force: the configuration is right, the limits are not.
+// Guards against a reload that applies a part: the configuration is valid, the limits file is not.
 TEST_F(Limited, WithOneFileBadNeitherIsInForce) {
-  start(kNone);
+  start(kNoLimits);
   ChangeLogStandIn other;
   options.change_log = other.address();
   controller->configure(options);
@@ -155,22 +157,22 @@
   change_log.tell(member("s-9", "127.0.0.1:1", "terminated"));
   EXPECT_TRUE(controller->wait_for_counter("list.changes", 2));
   EXPECT_EQ(other.server().count("GET"), 0);
-  controller->replace_limits(kNone);
+  controller->replace_limits(kNoLimits);
   EXPECT_EQ(reload(), 1);
   EXPECT_TRUE(other.server().wait_for("GET", "/changes"));
 }
 
 TEST_F(Limited, AFileWrittenInPlaceIsTakenWholeOrNotAtAll) {
-  start(kNone);
-  const std::string whole = lookups("  attempts: 1\n");
-  controller->write_limits(whole.substr(0, whole.size() / 2));
+  start(kNoLimits);
+  const std::string valid_file = limits_for_lookups("  attempts: 1\n");
+  controller->write_limits(valid_file.substr(0, valid_file.size() / 2));
   EXPECT_EQ(reload(), 1);
-  controller->write_limits(whole);
+  controller->write_limits(valid_file);
   EXPECT_EQ(reload(), 1);
 }
 
 TEST_F(Limited, AReloadInAStopIsTakenAndTheStopGoesOn) {
-  start(lookups("  concurrency: 1\n"), [](const HttpCall& call) {
+  start(limits_for_lookups("  concurrency: 1\n"), [](const HttpCall& call) {
     if (call.method == "POST") std::this_thread::sleep_for(std::chrono::milliseconds(300));
     return serve_soon(call);
   });
@@ -179,26 +181,26 @@
   ASSERT_TRUE(controller->wait_for_counter("queries.taken", 3));
   controller->signal(SIGTERM);
   ASSERT_TRUE(controller->wait_for_line("asked to stop"));
-  controller->replace_limits(lookups("  concurrency: 9\n"));
+  controller->replace_limits(limits_for_lookups("  concurrency: 9\n"));
   EXPECT_EQ(reload(), 0);
   for (int n = 0; n < 3; ++n) EXPECT_EQ(client.receive().kind, Kind::kServed);
   client.close();
   EXPECT_EQ(controller->wait_exit(), 0);
 }
 
-// Signals that come while one is read run into each other: the last file must be the one in force.
+// Signals that arrive while a file is read merge into one: the last file still has to be the active one.
 TEST_F(Limited, ReloadsOnTopOfEachOtherAndOfADrainEndWithTheLastFile) {
-  start(kNone, [](const HttpCall&) {
-    HttpReply r;
-    r.status = 500;
-    return r;
+  start(kNoLimits, [](const HttpCall&) {
+    HttpReply result;
+    result.status = 500;
+    return result;
   });
   for (int i = 0; i < 20; ++i) {
-    controller->replace_limits(i % 2 == 0 ? lookups("  attempts: 3\n") : "version: 1\n");
+    controller->replace_limits(i % 2 == 0 ? limits_for_lookups("  attempts: 3\n") : "version: 1\n");
     controller->signal(SIGHUP);
     if (i == 10) change_log.tell(member("s-1", engines[1]->address(), "terminating"));
   }
-  controller->replace_limits(lookups("  attempts: 1\n"));
+  controller->replace_limits(limits_for_lookups("  attempts: 1\n"));
   controller->signal(SIGHUP);
   ASSERT_TRUE(controller->wait_for_counter("list.changes", 2));
   controller->signal(SIGHUP);
@@ -211,7 +213,7 @@
 }
 
 TEST_F(Limited, ABadFileAtTheStartEndsItWithEveryFault) {
-  start(kNone);
+  start(kNoLimits);
   ControllerProcess second({{"BALANCER_CONFIG", controller->config_path()}},
                            {"--limits", "/nowhere/limits.yaml"});
   EXPECT_EQ(second.wait_exit(), 1);
@@ -219,12 +221,12 @@
 }
 
 TEST_F(Limited, CheckSaysGoodOrEveryFault) {
-  start(lookups("  attempts: 2\n"));
+  start(limits_for_lookups("  attempts: 2\n"));
   const std::map<std::string, std::string> environment = {{"BALANCER_CONFIG", controller->config_path()}};
   ControllerProcess good(environment, {"check", "--limits", controller->limits_path()});
   EXPECT_EQ(good.wait_exit(), 0);
   EXPECT_TRUE(good.wait_for_line("good: 1 routes and the defaults"));
-  controller->replace_limits(lookups("  attempts: 0\n  timeout: 61s\n"));
+  controller->replace_limits(limits_for_lookups("  attempts: 0\n  timeout: 61s\n"));
   ControllerProcess bad(environment, {"check", "--limits", controller->limits_path()});
   EXPECT_EQ(bad.wait_exit(), 1);
   EXPECT_TRUE(bad.wait_for_line(":5:13: routes[0].attempts: a whole number from 1 to 100 is wanted"));
@@ -233,19 +235,19 @@
 }
 
 TEST_F(Limited, ExplainNamesWhatSetEachLimit) {
-  start(lookups("  attempts: 2\n  timeout: 2s\n"));
+  start(limits_for_lookups("  attempts: 2\n  timeout: 2s\n"));
   ControllerProcess explain({{"BALANCER_CONFIG", controller->config_path()}},
                             {"explain", "--limits", controller->limits_path(), "--class", "lookup"});
   EXPECT_EQ(explain.wait_exit(), 0);
   EXPECT_TRUE(explain.wait_for_line("route: lookups"));
-  const std::string told = explain.log();
-  EXPECT_NE(told.find("file, line 6, for route 'lookups'"), std::string::npos) << told;
-  EXPECT_NE(told.find("settings: policyLimits.secondCopies"), std::string::npos) << told;
+  const std::string explanation = explain.log();
+  EXPECT_NE(explanation.find("file, line 6, for route 'lookups'"), std::string::npos) << explanation;
+  EXPECT_NE(explanation.find("settings: policyLimits.secondCopies"), std::string::npos) << explanation;
 }
 
-// The newcomer's first files must pass the program's own check.
+// The sample files are the first that a new user tries: they have to pass the program's own check.
 TEST_F(Limited, TheSampleIsGood) {
-  start(kNone);
+  start(kNoLimits);
   std::ostringstream text;
   text << std::ifstream(ORCHIDGW_SAMPLE "/config.json").rdbuf();
   const std::string config = std::regex_replace(text.str(), std::regex("@[A-Z0-9]+@"), "127.0.0.1:7001");
@@ -256,20 +258,20 @@
   EXPECT_TRUE(check.wait_for_line("good: 4 routes and the defaults")) << check.log();
 }
 
-// Guards against a loop that waits for who reads its log.
+// Guards against an event loop that blocks because nobody reads the program's log.
 TEST_F(Limited, NobodyReadsTheLogAndItServesAllTheSame) {
   options.words = {"--log-level", "debug", "--log-format", "json"};
-  start(kNone);
-  controller->stop_reading();
+  start(kNoLimits);
+  controller->pause_log_reading();
   FrontClient client(controller->address());
-  constexpr std::int32_t kQueries = 900;  // their lines are more than the pipe and the controller keep
+  constexpr std::int32_t kQueries = 900;  // they log more than the pipe and the controller can buffer
   for (std::int32_t n = 1; n <= kQueries; ++n) {
     client.invoke(n);
     ASSERT_EQ(client.receive().kind, Kind::kServed) << n;
   }
-  controller->read_on();
-  // Counters that are asked for before what was kept is read are dropped as any other line: they would be
-  // waited for in vain.
+  controller->resume_log_reading();
+  // Counters requested before the buffered lines have been read would be dropped like any other line, and the
+  // test would wait for them in vain.
   ASSERT_TRUE(controller->wait_for_line("lines dropped: nobody read them"));
   EXPECT_TRUE(controller->wait_for_counter("queries.served", kQueries));
 }
