--- a/tests/faults/fault_library.cpp
+++ b/tests/faults/fault_library.cpp
@@ -84,7 +84,7 @@
 }
 
 // Whether this call has to fail; counts it then.
-bool inject(CallFault fault) {
+bool should_inject(CallFault fault) {
   if (page() == nullptr) return false;
   const auto index = static_cast<std::size_t>(fault);
   const std::uint32_t rate = page()->per_million[index].load();
@@ -99,13 +99,13 @@
 }
 
 bool inject_interrupt() {
-  if (!inject(CallFault::kInterrupted)) return false;
+  if (!should_inject(CallFault::kInterrupted)) return false;
   errno = EINTR;
   return true;
 }
 
 std::size_t shorten_transfer(std::size_t size) {
-  if (size < 2 || !inject(CallFault::kShortTransfer)) return size;
+  if (size < 2 || !should_inject(CallFault::kShortTransfer)) return size;
   return 1 + next_random() % (size - 1);
 }
 
@@ -172,7 +172,8 @@
 ssize_t recv(int fd, void* buffer, size_t size, int flags) {
   constexpr int kErrors[] = {ETIMEDOUT, EHOSTUNREACH, ECONNRESET};
   if (orchidgw::faults::inject_interrupt()) return -1;
-  if (orchidgw::faults::connected_by_this_process(fd) && orchidgw::faults::inject(CallFault::kReceiveFails)) {
+  if (orchidgw::faults::connected_by_this_process(fd) &&
+      orchidgw::faults::should_inject(CallFault::kReceiveFails)) {
     ::shutdown(fd, SHUT_RDWR);  // the peer sees the end of the stream, too
     return orchidgw::faults::fail_with_one_of(kErrors);
   }
@@ -188,7 +189,8 @@
 int accept4(int fd, sockaddr* peer, socklen_t* size, int flags) {
   constexpr int kErrors[] = {ECONNABORTED, EMFILE, ENFILE, ENOBUFS, ENOMEM, EPROTO, EPERM};
   if (orchidgw::faults::inject_interrupt()) return -1;
-  if (orchidgw::faults::inject(CallFault::kAcceptFails)) return orchidgw::faults::fail_with_one_of(kErrors);
+  if (orchidgw::faults::should_inject(CallFault::kAcceptFails))
+    return orchidgw::faults::fail_with_one_of(kErrors);
   const int accepted = static_cast<int>(::syscall(SYS_accept4, fd, peer, size, flags));
   orchidgw::faults::set_connected_here(accepted, false);
   return accepted;
@@ -196,51 +198,54 @@
 
 int connect(int fd, const sockaddr* peer, socklen_t size) {
   constexpr int kErrors[] = {EADDRNOTAVAIL, ENETUNREACH, EHOSTUNREACH, ETIMEDOUT, EAGAIN};
-  if (orchidgw::faults::inject(CallFault::kConnectFails)) return orchidgw::faults::fail_with_one_of(kErrors);
+  if (orchidgw::faults::should_inject(CallFault::kConnectFails))
+    return orchidgw::faults::fail_with_one_of(kErrors);
   orchidgw::faults::set_connected_here(fd, true);
   return static_cast<int>(::syscall(SYS_connect, fd, peer, size));
 }
 
 int socket(int domain, int type, int protocol) noexcept {
   constexpr int kErrors[] = {EMFILE, ENFILE, ENOBUFS, ENOMEM};
-  if (domain == AF_INET && orchidgw::faults::inject(CallFault::kSocketFails))
+  if (domain == AF_INET && orchidgw::faults::should_inject(CallFault::kSocketFails))
     return orchidgw::faults::fail_with_one_of(kErrors);
   return static_cast<int>(::syscall(SYS_socket, domain, type, protocol));
 }
 
 int bind(int fd, const sockaddr* address, socklen_t size) noexcept {
   constexpr int kErrors[] = {ENOMEM, ENOBUFS};
-  if (orchidgw::faults::inject(CallFault::kBindFails)) return orchidgw::faults::fail_with_one_of(kErrors);
+  if (orchidgw::faults::should_inject(CallFault::kBindFails))
+    return orchidgw::faults::fail_with_one_of(kErrors);
   return static_cast<int>(::syscall(SYS_bind, fd, address, size));
 }
 
 int listen(int fd, int backlog) noexcept {
   constexpr int kErrors[] = {ENOMEM, ENOBUFS};
-  if (orchidgw::faults::inject(CallFault::kListenFails)) return orchidgw::faults::fail_with_one_of(kErrors);
+  if (orchidgw::faults::should_inject(CallFault::kListenFails))
+    return orchidgw::faults::fail_with_one_of(kErrors);
   return static_cast<int>(::syscall(SYS_listen, fd, backlog));
 }
 
 int epoll_create(int) noexcept {
-  if (orchidgw::faults::inject(CallFault::kEpollFails))
+  if (orchidgw::faults::should_inject(CallFault::kEpollFails))
     return orchidgw::faults::fail_with_one_of(orchidgw::faults::kDescriptorErrors);
   return static_cast<int>(::syscall(SYS_epoll_create1, 0));
 }
 
 int eventfd(unsigned count, int flags) noexcept {
-  if (orchidgw::faults::inject(CallFault::kEventDescriptorFails))
+  if (orchidgw::faults::should_inject(CallFault::kEventDescriptorFails))
     return orchidgw::faults::fail_with_one_of(orchidgw::faults::kDescriptorErrors);
   return static_cast<int>(::syscall(SYS_eventfd2, count, flags));
 }
 
 int timerfd_create(clockid_t clock, int flags) noexcept {
-  if (orchidgw::faults::inject(CallFault::kTimerDescriptorFails))
+  if (orchidgw::faults::should_inject(CallFault::kTimerDescriptorFails))
     return orchidgw::faults::fail_with_one_of(orchidgw::faults::kDescriptorErrors);
   return static_cast<int>(::syscall(SYS_timerfd_create, clock, flags));
 }
 
 int signalfd(int fd, const sigset_t* signals, int flags) noexcept {
   constexpr std::size_t kKernelSetBytes = 8;
-  if (orchidgw::faults::inject(CallFault::kSignalDescriptorFails))
+  if (orchidgw::faults::should_inject(CallFault::kSignalDescriptorFails))
     return orchidgw::faults::fail_with_one_of(orchidgw::faults::kDescriptorErrors);
   return static_cast<int>(::syscall(SYS_signalfd4, fd, signals, kKernelSetBytes, flags));
 }
@@ -250,14 +255,15 @@
   va_start(arguments, flags);
   const unsigned mode = (flags & O_CREAT) != 0 ? va_arg(arguments, unsigned) : 0U;
   va_end(arguments);
-  if (orchidgw::faults::inject(CallFault::kOpenFails))
+  if (orchidgw::faults::should_inject(CallFault::kOpenFails))
     return orchidgw::faults::fail_with_one_of(orchidgw::faults::kDescriptorErrors);
   return static_cast<int>(::syscall(SYS_openat, AT_FDCWD, path, flags, mode));
 }
 
 int flock(int fd, int operation) noexcept {
   constexpr int kErrors[] = {EWOULDBLOCK, ENOLCK};
-  if (orchidgw::faults::inject(CallFault::kLockFails)) return orchidgw::faults::fail_with_one_of(kErrors);
+  if (orchidgw::faults::should_inject(CallFault::kLockFails))
+    return orchidgw::faults::fail_with_one_of(kErrors);
   return static_cast<int>(::syscall(SYS_flock, fd, operation));
 }
 
--- a/tests/faults/fault_page.h
+++ b/tests/faults/fault_page.h
@@ -14,8 +14,8 @@
   kInterrupted,            // EINTR from waits, reads, writes and accepts
   kShortTransfer,          // reads and writes transfer only a part of the bytes they could
   kAcceptFails,            // each errno that accept(2) documents for a connection or for a lack of resources
-  kConnectFails,           // errors of connect(2), before any byte is sent
-  kSocketFails,            // socket(2) for a lack of resources
+  kConnectFails,           // errors that connect(2) documents, before a byte is sent
+  kSocketFails,            // errors that socket(2) documents for a lack of resources
   kReceiveFails,           // ETIMEDOUT, EHOSTUNREACH, ECONNRESET in the middle of a stream
   kBindFails,              // bind(2) for a lack of memory
   kListenFails,            // listen(2) for a lack of memory
@@ -36,7 +36,7 @@
   std::array<std::atomic<std::uint64_t>, kCallFaults> made{};         // faults injected so far
 };
 
-// Environment variables that the library reads at its start.
+// Environment variables that the library reads when it first needs them.
 inline constexpr const char* kPageVariable = "ORCHIDGW_FAULT_PAGE";  // path of a file with a FaultPage
 // A single wall-clock step, for which no page is needed: "MICROSECONDS@MILLISECONDS", the size of the step
 // and the time of it, counted from when the library first reads a wall clock.
--- a/tests/integration/controller_process.h
+++ b/tests/integration/controller_process.h
@@ -66,7 +66,7 @@
   std::string limits_path() const { return directory_ + "/limits.yaml"; }
   void write_limits(const std::string& text) const;    // in place
   void replace_limits(const std::string& text) const;  // by rename
-  int wait_exit();                                     // returns its exit code, or 128 + signal
+  int wait_exit();  // waits for its end; returns its exit code, or 128 + signal
   // Waits until its output contains this text; false after 20 s, or if the output ends without it.
   bool wait_for_line(const std::string& part);
   std::string log() const;  // its standard output and standard error so far
@@ -74,7 +74,9 @@
   // Leaves its output unread until resume_log_reading: the pipe fills up.
   void pause_log_reading();
   void resume_log_reading();
-  std::map<std::string, long> counters();  // requests and returns the counters that SIGUSR1 prints
+  // Sends SIGUSR1 and returns the counters that the program then prints, by name; after 20 s those it has
+  // printed.
+  std::map<std::string, long> counters();
   // Requests the counters until this one has the value; false after 20 s.
   bool wait_for_counter(const std::string& name, long value);
 
--- a/tests/integration/shutdown_probe.h
+++ b/tests/integration/shutdown_probe.h
@@ -60,8 +60,8 @@
 milliseconds earliest_kill(milliseconds longest_deadline);
 
 // A sanitized process checks for leaks after the program has ended: its end took 50 to 75 ms, against 20 to
-// 25 ms without the check, on an idle machine. SIGKILL comes later by this time there; the log shows when the
-// program itself ended.
+// 25 ms without the check, on an idle machine. SIGKILL comes later by kLeakCheck there; the log shows when
+// the program itself ended.
 #ifdef __SANITIZE_ADDRESS__
 inline constexpr bool kSanitized = true;
 inline constexpr milliseconds kLeakCheck{2000};
