--- a/src/fleet/agreed_log.h
+++ b/src/fleet/agreed_log.h
@@ -1,5 +1,5 @@
-// What the keepers agree on, as the fleet sees it: entries go in at the leader and come out on every keeper
-// in one order, once they are durable on a majority. `src/keeper` implements it.
+// The keepers' replicated log, as the fleet's code uses it: entries are proposed at the leader and applied on
+// every keeper in the same order, once they are durable on a majority. `src/keeper` implements it.
 #pragma once
 
 #include "budget/ledger.h"
@@ -15,33 +15,34 @@
   bool operator==(const Entry&) const = default;
 };
 
-// What all entries so far lead to.
+// The result of applying all entries so far.
 struct State {
   budget::Ledger ledger;
   promises::KeyTable keys;
   bool operator==(const State&) const = default;
 };
 
-// What entries are applied to.
+// The state machine that committed entries are applied to.
 class Replica {
  public:
   virtual ~Replica() = default;
   virtual void apply(const Entry& entry) = 0;
-  virtual const State& state() const = 0;  // for a snapshot
-  virtual void restore(State state) = 0;
+  virtual const State& state() const = 0;  // read when a snapshot is taken
+  virtual void restore(State state) = 0;   // replaces the state by a snapshot's
 };
 
 class AgreedLog {
  public:
   virtual ~AgreedLog() = default;
-  // This keeper leads, and all entries before its election are applied here.
+  // True: this keeper is the leader and has applied all entries from before its election.
   virtual bool leads() const = 0;
-  virtual std::uint64_t term() const = 0;  // only rises; in each one keeper leads at the most
-  virtual KeeperId leader() const = 0;     // 0: none is known
-  // False: it does not lead, or the entry can't be taken now. Else `finished` counts it one day.
+  virtual std::uint64_t term() const = 0;  // Raft term; never decreases, and has one leader at most
+  virtual KeeperId leader() const = 0;     // 0: no leader is known
+  // Starts to replicate `entry`. False: this keeper is not the leader, or the entry can't be accepted now.
+  // After true, `finished` will count the proposal.
   virtual bool propose(const Entry& entry) = 0;
-  // Of the entries proposed here, how many are applied by now, or given up here: their fate is not known
-  // then.
+  // How many of the entries proposed here are done with: applied, or abandoned, in which case it is unknown
+  // whether they will be committed.
   virtual std::uint64_t finished() const = 0;
 };
 
--- a/src/fleet/allowances.h
+++ b/src/fleet/allowances.h
@@ -1,11 +1,12 @@
-// Which allowances a fleet divides, what their parts are worth to the module and to the limits, and how much
-// of each a controller asks for. No I/O, no clock.
+// Which allowances a fleet divides, how leased parts translate into shares for the decision module and for
+// the limits, and how much of each allowance a controller requests. No I/O, no clock.
 //
-//   cpu/TENANT           millionths of the tenant's CPU budget; without tenants "cpu/" bounds threads and
-//   memory cold                 millionths of what cold engines may be sent (rule 4) further_attempts
-//   attempts beyond each query's first, in the rules' window (rule 7) rate/ROUTE           thousandths of a
-//   query a second, of limits with `scope: fleet` concurrency/ROUTE    queries under way, of limits with
-//   `scope: fleet`
+// Allowances and the unit of their parts:
+// - cpu/TENANT: millionths of the tenant's CPU budget; without tenants "cpu/" bounds threads and memory
+// - cold: millionths of the load that engines in slow start may be sent (rule 4)
+// - further_attempts: attempts beyond each query's first, in the window of the retry budget (rule 7)
+// - rate/ROUTE: thousandths of a query per second, of limits with `scope: fleet`
+// - concurrency/ROUTE: queries in flight, of limits with `scope: fleet`
 #pragma once
 
 #include <deque>
@@ -24,44 +25,49 @@
 inline constexpr budget::Parts kMillion = 1'000'000;
 inline constexpr budget::Parts kMilli = 1'000;
 
-// Terms of the file, for these settings and limits (null: none are in force). Throws std::invalid_argument
-// naming the field where the parts set aside leave nothing to lease.
+// The fleet's terms by `config`, with an allowance for each budget and limit that the fleet divides.
+// `limits` may be null: no limits are active. Throws std::invalid_argument that names the field where the
+// parts set aside leave nothing to lease.
 budget::Terms terms_of(const FleetConfig& config, const Settings& settings, const limits::LimitSet* limits);
 
-// What a holder's parts are worth now.
+// This controller's shares of the fleet's budgets and limits.
 struct Shares {
   FleetShare module;
   limits::FleetLimits limits;
   bool operator==(const Shares&) const = default;
 };
+// The shares that `holder` may use at `now`; without a valid lease only the parts set aside for that case.
 Shares shares_of(const budget::Holder& holder, const Settings& settings, TimeUs now);
 
-// How much of each allowance this controller's own traffic asks for, over the last seconds.
+// Measures how much of each allowance this controller's own traffic needs, over the last seconds.
 class Demand {
  public:
   explicit Demand(const Settings& settings) : settings_(settings) {}
 
-  void taken(TimeUs now, const std::string& tenant, TimeUs cost);  // a query, its work
-  void engines(double cores) { cores_ = cores; }                   // of all listed engines
+  // Counts an accepted query; `cost` is its CPU time in microseconds.
+  void taken(TimeUs now, const std::string& tenant, TimeUs cost);
+  void engines(double cores) { cores_ = cores; }  // sets the number of cores of all listed engines together
+  // By allowance, in the order of `terms`: the parts needed beyond the cut-off part, which needs no lease.
   std::vector<budget::Parts> parts(TimeUs now, const budget::Terms& terms, const limits::FleetUse& use);
 
-  // What of each allowance is in use beyond the cut-off part and can't be given back yet: queries under way,
-  // and for a window after it was last so large, a part of a CPU budget.
+  // By allowance: the parts in use beyond the cut-off part that can't be given back yet. For concurrency
+  // these are queries in flight; for a CPU budget the largest part leased within the last window.
   std::vector<budget::Parts> in_use(TimeUs now, const budget::Holder& holder, const limits::FleetUse& use);
 
  private:
-  struct Work {
+  struct AcceptedQuery {
     TimeUs at = 0;
     std::string tenant;
     TimeUs cost = 0;
   };
-  void drop_old(TimeUs now);
+  void drop_expired(TimeUs now);
 
   Settings settings_;
   double cores_ = 0;
-  std::deque<Work> work_;
-  std::map<std::string, double> sums_;                                         // us of work by tenant
-  std::map<std::string, std::deque<std::pair<TimeUs, budget::Parts>>> peaks_;  // falling, by allowance
+  std::deque<AcceptedQuery> accepted_;
+  std::map<std::string, double> cost_by_tenant_;  // CPU time in us
+  // By allowance: since when a part was leased, and its size; sizes decrease from front to back.
+  std::map<std::string, std::deque<std::pair<TimeUs, budget::Parts>>> leased_peaks_;
 };
 
 }  // namespace orchidgw::fleet
--- a/src/fleet/fleet_config.h
+++ b/src/fleet/fleet_config.h
@@ -1,4 +1,4 @@
-// What the fleet's file says, checked. Plain values.
+// The fleet's configuration file, validated. Plain values.
 #pragma once
 
 #include <optional>
@@ -13,33 +13,37 @@
 
 struct KeeperPlace {
   KeeperId id = 0;
-  std::string name;  // of the controller that keeps, as BALANCER_NAME has it
+  std::string name;  // of the controller that runs this keeper, as in its BALANCER_NAME
   core::Address address;
 };
 
-// Parts of a whole that belong to all controllers together, in parts per million of it.
+// How a whole is divided: shares that belong to all controllers together, in parts per million of it.
 struct Division {
-  std::int64_t cut_off_ppm = 200'000;  // set aside: a controller without a lease may use its part of this
-  std::int64_t reserve_ppm = 50'000;   // kept free for newcomers
-  std::int64_t least_ppm = 100'000;    // a live member has at least its part of this
+  // Set aside: a controller without a lease may use this divided by the maximum number of controllers.
+  std::int64_t cut_off_ppm = 200'000;
+  std::int64_t reserve_ppm = 50'000;  // kept free for new members
+  // A live member gets at least this divided by the maximum number of controllers.
+  std::int64_t least_ppm = 100'000;
 };
 
 struct FleetConfig {
   std::string name;
-  std::uint64_t number = 0;    // with the name: keeps strangers' messages out, by accident only
-  std::uint64_t revision = 0;  // of the file: the keepers agree on the highest that a leader has
-  int largest = 1;             // controllers there may ever be at one time
-  TimeUs term = 0;             // of a lease
-  std::int64_t drift_ppm = 0;
-  TimeUs ramp = 0;  // over which the whole is let out again after all members were lost at once; 0: at once
+  std::uint64_t number = 0;    // of the fleet; with the name guards against mix-ups, not against attacks
+  std::uint64_t revision = 0;  // of the file; the keepers adopt the highest revision that a leader has
+  int largest = 1;             // maximum number of controllers at any time
+  TimeUs term = 0;             // duration of a lease
+  std::int64_t drift_ppm = 0;  // maximum drift between two clocks
+  // Time over which the whole is leased out again after all members were lost at once; 0: immediately.
+  TimeUs ramp = 0;
   Division division;
-  std::optional<int>
-      further_attempts;  // of all controllers together, in the rules' window; none: not divided
-  bool keys = false;     // what must not run twice is known to all of the fleet before it is sent
+  // Retry budget of all controllers together, in the rules' window; none: it is not divided.
+  std::optional<int> further_attempts;
+  bool keys = false;  // keys of queries that must not run twice are held by the keepers, for the whole fleet
   std::vector<KeeperPlace> keepers;
-  std::string store;     // a keeper's folder
-  bool careful = false;  // a keeper whose store can't be used starts as a member that keeps nothing
+  std::string store;     // folder of a keeper's store
+  bool careful = false;  // a keeper whose store can't be used starts as a member that is no keeper
 
+  // The keeper that runs in the controller of that name; null: none.
   const KeeperPlace* keeper_named(const std::string& controller) const {
     for (const KeeperPlace& keeper : keepers)
       if (keeper.name == controller) return &keeper;
--- a/src/fleet/keeper_role.cpp
+++ b/src/fleet/keeper_role.cpp
@@ -16,97 +16,100 @@
     replies_.push_back({from, Elsewhere{seq, leader}});
     return;
   }
-  askers_[key] = {from, seq, revision};
+  pending_requests_[key] = {from, seq, revision};
 }
 
 void KeeperRole::link_gone(LinkId link) {
-  std::erase_if(askers_, [link](const auto& one) { return one.second.link == link; });
-  std::erase_if(key_askers_, [link](const auto& one) { return one.second == link; });
+  std::erase_if(pending_requests_, [link](const auto& request) { return request.second.link == link; });
+  std::erase_if(pending_key_requests_, [link](const auto& request) { return request.second == link; });
 }
 
-// Not told where else to go: who asks follows the leader by its leases.
+// No redirect where this keeper does not lead: a member learns who leads by its lease requests.
 void KeeperRole::asked(const AgreedLog& log, LinkId from, promises::KeyAsk ask) {
   if (!log.leads() || !arbiter_.leads()) return;
   const std::pair key{ask.from, ask.seq};
-  if (watch_.asked(std::move(ask))) key_askers_[key] = from;
+  if (watch_.asked(std::move(ask))) pending_key_requests_[key] = from;
 }
 
 const budget::Terms& KeeperRole::terms() const {
-  return state_.ledger.terms().revision > 0 ? state_.ledger.terms() : own_;
+  return state_.ledger.terms().revision > 0 ? state_.ledger.terms() : own_terms_;
 }
 
 void KeeperRole::run(TimeUs now, AgreedLog& log) {
-  // Guards against a leadership that was lost and won again between two runs: others granted in between.
+  // Comparing terms guards against a leadership that was lost and won again between two runs: another leader
+  // may have granted leases in between.
   if (arbiter_.leads() && (!log.leads() || log.term() != term_)) {
     arbiter_.follow();
     watch_.follow();
-    askers_.clear();
-    key_askers_.clear();
-    proposed_ = log.finished();
+    pending_requests_.clear();
+    pending_key_requests_.clear();
+    proposed_count_ = log.finished();
   }
   if (!arbiter_.leads() && log.leads()) {
     arbiter_.lead(now, state_.ledger);
     watch_.lead(now, state_.keys, terms());
     term_ = log.term();
-    proposed_ = log.finished();
+    proposed_count_ = log.finished();
   }
-  // An entry that granted nothing counts too: guards against an expiry that is said again and again, an entry
-  // each turn, until somebody's grant comes by.
+  // An entry that granted nothing has to be processed too: otherwise an expiry would be proposed again in
+  // each run, until the next entry with a grant.
   if (std::exchange(news_, false)) {
     const std::vector<budget::Grant> granted(granted_.begin(), granted_.end());
     granted_.clear();
     arbiter_.applied(now, state_.ledger, granted);
-    for (const budget::Grant& grant : granted) answer(grant);
-    std::vector<promises::KeyTold> told = std::exchange(keys_told_, {});
-    if (arbiter_.leads()) watch_.applied(now, state_.keys, told, terms());
-    for (promises::KeyTold& one : told) answer(std::move(one));
+    for (const budget::Grant& grant : granted) queue_reply(grant);
+    std::vector<promises::KeyTold> replies = std::exchange(key_replies_, {});
+    if (arbiter_.leads()) watch_.applied(now, state_.keys, replies, terms());
+    for (promises::KeyTold& reply : replies) queue_reply(std::move(reply));
   }
-  on_its_way_ = arbiter_.leads() && log.finished() < proposed_;
-  if (!arbiter_.leads() || on_its_way_) return;
+  entry_in_flight_ = arbiter_.leads() && log.finished() < proposed_count_;
+  if (!arbiter_.leads() || entry_in_flight_) return;
   Entry entry{arbiter_.next(now, state_.ledger).value_or(budget::Entry{}),
               watch_.next(now, state_.keys, terms())};
   if (entry.empty()) return;
   if (log.propose(entry)) {
-    ++proposed_;
-    on_its_way_ = true;
+    ++proposed_count_;
+    entry_in_flight_ = true;
     return;
   }
-  // Its asks come again by themselves.
-  for (const promises::KeyAsk& ask : entry.keys.asks) key_askers_.erase({ask.from, ask.seq});
+  // Members repeat their requests by themselves.
+  for (const promises::KeyAsk& ask : entry.keys.asks) pending_key_requests_.erase({ask.from, ask.seq});
 }
 
 std::optional<TimeUs> KeeperRole::next_due() const {
-  if (!arbiter_.leads() || on_its_way_) return std::nullopt;  // what is on its way comes through first
+  // `run` proposes nothing before the entry in flight is applied.
+  if (!arbiter_.leads() || entry_in_flight_) return std::nullopt;
   const auto a = arbiter_.next_due();
   const auto b = watch_.next_due();
   return a && b ? std::min(*a, *b) : a ? a : b;
 }
 
 void KeeperRole::apply(const Entry& entry) {
-  ++entries_;
+  ++applied_count_;
   news_ = true;
   for (budget::Grant& grant : state_.ledger.apply(entry.budget)) granted_.push_back(std::move(grant));
-  for (promises::KeyTold& told : state_.keys.apply(entry.keys)) keys_told_.push_back(std::move(told));
-  if (!arbiter_.leads()) granted_.clear(), keys_told_.clear();  // the leader answers, and counts terms
+  for (promises::KeyTold& reply : state_.keys.apply(entry.keys)) key_replies_.push_back(std::move(reply));
+  // Only the leader replies, and tracks when leases end.
+  if (!arbiter_.leads()) granted_.clear(), key_replies_.clear();
 }
 
-void KeeperRole::answer(promises::KeyTold told) {
-  const auto it = key_askers_.find({told.to, told.seq});
-  if (it == key_askers_.end()) return;
-  replies_.push_back({it->second, std::move(told)});
-  key_askers_.erase(it);
+void KeeperRole::queue_reply(promises::KeyTold reply) {
+  const auto it = pending_key_requests_.find({reply.to, reply.seq});
+  if (it == pending_key_requests_.end()) return;
+  replies_.push_back({it->second, std::move(reply)});
+  pending_key_requests_.erase(it);
 }
 
-// An earlier ask than its last is answered too: guards against a disk so slow that a member has asked anew
-// before each answer, and would never have one.
-void KeeperRole::answer(const budget::Grant& grant) {
-  const auto it = askers_.find(grant.to);
-  if (it == askers_.end() || grant.seq > it->second.seq) return;
-  GrantTold told{grant, {}, state_.keys.settled()};
-  if (it->second.revision != state_.ledger.terms().revision) told.terms.push_back(state_.ledger.terms());
-  const bool last = it->second.seq == grant.seq;
-  replies_.push_back({it->second.link, std::move(told)});
-  if (last) askers_.erase(it);
+// A request that the member has repeated since is answered too: guards against a disk so slow that a member
+// repeats its request before each reply, and would never get one.
+void KeeperRole::queue_reply(const budget::Grant& grant) {
+  const auto it = pending_requests_.find(grant.to);
+  if (it == pending_requests_.end() || grant.seq > it->second.seq) return;
+  GrantTold reply{grant, {}, state_.keys.settled()};
+  if (it->second.revision != state_.ledger.terms().revision) reply.terms.push_back(state_.ledger.terms());
+  const bool latest = it->second.seq == grant.seq;
+  replies_.push_back({it->second.link, std::move(reply)});
+  if (latest) pending_requests_.erase(it);
 }
 
 std::vector<KeeperRole::Reply> KeeperRole::take_replies() { return std::exchange(replies_, {}); }
@@ -114,12 +117,12 @@
 std::string KeeperRole::status(const AgreedLog& log) const {
   std::ostringstream out;
   out << "keeper " << (log.leads() ? "leads" : "follows") << " leader " << log.leader() << " entries "
-      << entries_ << " level_percent " << budget::percent_of(state_.ledger.level()) << " members "
+      << applied_count_ << " level_percent " << budget::percent_of(state_.ledger.level()) << " members "
       << state_.ledger.members().size() << " revision " << state_.ledger.terms().revision << '\n';
   for (std::size_t a = 0; a < state_.ledger.terms().allowances.size(); ++a) {
     const budget::Allowance& terms = state_.ledger.terms().allowances[a];
-    const budget::Parts out_there = state_.ledger.outstanding(a);
-    out << "allowance " << terms.name << " whole " << terms.whole << " leased " << out_there << " set_aside "
+    const budget::Parts leased = state_.ledger.outstanding(a);
+    out << "allowance " << terms.name << " whole " << terms.whole << " leased " << leased << " set_aside "
         << state_.ledger.terms().largest * terms.cut_off << " free " << state_.ledger.free(a) << '\n';
   }
   if (terms().longest_rest > 0)
--- a/src/fleet/keeper_role.h
+++ b/src/fleet/keeper_role.h
@@ -1,5 +1,5 @@
-// A controller's part as a keeper: asks go into the agreed log, what comes out of it is the ledger, and the
-// leader answers. A reducer: events in, messages out; no I/O, no clock.
+// A controller's role as a keeper: requests of members go into the replicated log, applied entries change the
+// ledger and the key table, and the leader replies. A reducer: events in, messages out; no I/O, no clock.
 #pragma once
 
 #include <deque>
@@ -15,7 +15,7 @@
 
 namespace orchidgw::fleet {
 
-using LinkId = std::uint64_t;  // the connection on which an ask came
+using LinkId = std::uint64_t;  // the connection on which a request came
 
 class KeeperRole final : public Replica {
  public:
@@ -24,48 +24,52 @@
     Answer answer;
   };
 
-  // `own`: of this keeper's file; proposed where it leads and they are newer.
+  // `own`: the terms of this keeper's file; a leader proposes them where they are newer than the fleet's.
   explicit KeeperRole(const budget::Terms& own) { wants(own); }
 
-  void wants(const budget::Terms& own) { arbiter_.wants(own), own_ = own; }
+  void wants(const budget::Terms& own) { arbiter_.wants(own), own_terms_ = own; }
+  // A member's request came on connection `from`. A request for a lease that can't be granted here is
+  // answered with the leader's id; a request for keys is dropped then.
   void asked(const AgreedLog& log, LinkId from, budget::Ask ask);
   void asked(const AgreedLog& log, LinkId from, promises::KeyAsk ask);
-  void link_gone(LinkId link);
-  // To be called after each event, and when due: proposes what is to be agreed on.
+  void link_gone(LinkId link);  // replies that are owed to that connection are dropped
+  // To be called after each event, and when `next_due` is reached: applies a change of leadership, queues
+  // replies and proposes the next entry.
   void run(TimeUs now, AgreedLog& log);
-  std::vector<Reply> take_replies();
-  std::optional<TimeUs> next_due() const;
+  std::vector<Reply> take_replies();       // removes the queued replies
+  std::optional<TimeUs> next_due() const;  // when `run` has to be called without an event; none: not
 
-  // Replica. What `apply` grants counts from the next `run`, which is later.
+  // Implementation of Replica. The time of a lease that `apply` grants counts from the next `run`, which is
+  // later and so on the safe side.
   void apply(const Entry& entry) override;
   const State& state() const override { return state_; }
   void restore(State state) override { state_ = std::move(state); }
 
-  std::string status(const AgreedLog& log) const;  // lines for operators
+  std::string status(const AgreedLog& log) const;  // lines of text for operators
 
  private:
-  void answer(const budget::Grant& grant);
-  void answer(promises::KeyTold told);
-  const budget::Terms& terms() const;  // as agreed on, else its own
+  void queue_reply(const budget::Grant& grant);
+  void queue_reply(promises::KeyTold reply);
+  const budget::Terms& terms() const;  // as committed, else this keeper's own
 
   State state_;
-  budget::Terms own_;
+  budget::Terms own_terms_;
   budget::Arbiter arbiter_;
   promises::KeyWatch watch_;
-  std::uint64_t term_ = 0;  // of its leadership
-  std::uint64_t proposed_ = 0;
-  std::uint64_t entries_ = 0;
-  struct Asker {
+  std::uint64_t term_ = 0;  // in which it became the leader
+  std::uint64_t proposed_count_ = 0;
+  std::uint64_t applied_count_ = 0;
+  struct PendingRequest {
     LinkId link = 0;
     std::uint64_t seq = 0;
     std::uint64_t revision = 0;
   };
-  std::map<budget::MemberKey, Asker> askers_;  // whom the leader owes an answer
-  std::map<std::pair<budget::MemberKey, std::uint64_t>, LinkId> key_askers_;  // by seq
-  std::deque<budget::Grant> granted_;                                         // since the last run
-  std::vector<promises::KeyTold> keys_told_;                                  // likewise
-  bool on_its_way_ = false;                                                   // an entry, as of the last run
-  bool news_ = false;  // an entry was applied since the last run
+  std::map<budget::MemberKey, PendingRequest> pending_requests_;  // by member: its latest request
+  std::map<std::pair<budget::MemberKey, std::uint64_t>, LinkId> pending_key_requests_;  // by member and seq
+  std::deque<budget::Grant> granted_;                                                   // since the last run
+  std::vector<promises::KeyTold> key_replies_;                                          // since the last run
+  bool entry_in_flight_ = false;  // an entry was proposed and not applied, as of the last run
+  bool news_ = false;             // an entry was applied since the last run
   std::vector<Reply> replies_;
 };
 
--- a/src/fleet/member_role.cpp
+++ b/src/fleet/member_role.cpp
@@ -6,95 +6,100 @@
 namespace orchidgw::fleet {
 namespace {
 
-// Of a lease's term: it is asked for anew after a third, so that two asks may be lost; an answer that takes a
-// sixth is taken for lost.
-constexpr TimeUs kRenewPart = 3;
-constexpr TimeUs kAnswerPart = 6;
-constexpr int kRedirectsMost = 2;      // in a row
-constexpr TimeUs kElsewherePart = 24;  // a pause before the next keeper is asked, where none is known to lead
+// Divisors of a lease's term. A lease is renewed after a third of it, so that two requests may be lost; a
+// reply that takes longer than a sixth counts as lost.
+constexpr TimeUs kRenewalDivisor = 3;
+constexpr TimeUs kReplyTimeoutDivisor = 6;
+constexpr int kMaxRedirects = 2;           // in a row; more are taken for a loop
+constexpr TimeUs kRetryPauseDivisor = 24;  // divisor of the term: pause before the next keeper is tried
 
 std::uint64_t next_random(std::uint64_t& state) {  // SplitMix64 (Steele, Lea, Flood 2014)
-  std::uint64_t x = state += 0x9e3779b97f4a7c15ULL;
-  x = (x ^ (x >> 30)) * 0xbf58476d1ce4e5b9ULL;
-  x = (x ^ (x >> 27)) * 0x94d049bb133111ebULL;
-  return x ^ (x >> 31);
+  std::uint64_t mixed = state += 0x9e3779b97f4a7c15ULL;
+  mixed = (mixed ^ (mixed >> 30)) * 0xbf58476d1ce4e5b9ULL;
+  mixed = (mixed ^ (mixed >> 27)) * 0x94d049bb133111ebULL;
+  return mixed ^ (mixed >> 31);
 }
 
 }  // namespace
 
 MemberRole::MemberRole(budget::MemberKey self, budget::Terms own, std::vector<KeeperId> keepers,
                        std::uint64_t seed)
-    : holder_(std::move(self), std::move(own)), keepers_(std::move(keepers)), random_(seed) {
-  at_ = next_random(random_) % keepers_.size();
+    : holder_(std::move(self), std::move(own)), keepers_(std::move(keepers)), random_state_(seed) {
+  current_keeper_ = next_random(random_state_) % keepers_.size();
 }
 
-TimeUs MemberRole::renew_after() const { return holder_.terms().term / kRenewPart; }
+TimeUs MemberRole::renewal_interval() const { return holder_.terms().term / kRenewalDivisor; }
 
-TimeUs MemberRole::answer_within() const { return holder_.terms().term / kAnswerPart; }
+TimeUs MemberRole::reply_timeout() const { return holder_.terms().term / kReplyTimeoutDivisor; }
 
-TimeUs MemberRole::spread(TimeUs time) {
-  return time * 9 / 10 + static_cast<TimeUs>(next_random(random_) % static_cast<std::uint64_t>(time / 5 + 1));
+TimeUs MemberRole::with_jitter(TimeUs time) {
+  return time * 9 / 10 +
+         static_cast<TimeUs>(next_random(random_state_) % static_cast<std::uint64_t>(time / 5 + 1));
 }
 
 budget::Ask MemberRole::ask(TimeUs now, std::vector<budget::Parts> demand,
                             const std::vector<budget::Parts>& in_use) {
-  if (waits_) at_ = (at_ + 1) % keepers_.size();  // the one before did not answer in time
-  budget::Ask out = holder_.ask(now, std::move(demand), in_use);
-  last_seq_ = out.seq;
-  asked_at_ = now;
-  waits_ = true;
-  answer_by_ = now + spread(answer_within());
-  return out;
+  if (awaiting_reply_)
+    current_keeper_ = (current_keeper_ + 1) % keepers_.size();  // the keeper before did not reply in time
+  budget::Ask request = holder_.ask(now, std::move(demand), in_use);
+  last_seq_ = request.seq;
+  requested_at_ = now;
+  awaiting_reply_ = true;
+  reply_deadline_ = now + with_jitter(reply_timeout());
+  return request;
 }
 
-bool MemberRole::told(TimeUs now, const GrantTold& told) {
+bool MemberRole::told(TimeUs now, const GrantTold& reply) {
   leader_known_ = true;
-  keys_settled_ = told.keys_settled;
-  const bool news = holder_.answered(now, told.grant, told.terms);
-  // A lease by an earlier ask is an answer as good: the keeper is there, and slow.
-  if (told.grant.seq != last_seq_ && !news) return news;
-  waits_ = false;
-  redirects_ = 0;
-  due_ = holder_.owes_answer() ? now : asked_at_ + spread(renew_after());
-  // What did not become a lease (no room, no terms yet) is asked for again at the usual pace.
-  if (!news) due_ = std::max(due_, now + spread(answer_within()));
-  return news;
+  keys_settled_ = reply.keys_settled;
+  const bool lease_changed = holder_.answered(now, reply.grant, reply.terms);
+  // A lease by an earlier request ends the wait too: the keeper is alive, and slow.
+  if (reply.grant.seq != last_seq_ && !lease_changed) return lease_changed;
+  awaiting_reply_ = false;
+  redirect_count_ = 0;
+  next_request_at_ = holder_.owes_answer() ? now : requested_at_ + with_jitter(renewal_interval());
+  // A request that did not change the lease (not admitted, no terms yet) is repeated after the usual
+  // interval.
+  if (!lease_changed) next_request_at_ = std::max(next_request_at_, now + with_jitter(reply_timeout()));
+  return lease_changed;
 }
 
-void MemberRole::told(TimeUs now, const Elsewhere& elsewhere) {
-  if (!waits_ || elsewhere.seq != last_seq_) return;
-  leader_known_ = elsewhere.leader != 0;
-  if (elsewhere.leader == asks()) {  // it leads, and grants nothing yet
-    waits_ = false;
-    redirects_ = 0;
-    due_ = now + spread(holder_.terms().term / kElsewherePart);
+void MemberRole::told(TimeUs now, const Elsewhere& redirect) {
+  if (!awaiting_reply_ || redirect.seq != last_seq_) return;
+  leader_known_ = redirect.leader != 0;
+  if (redirect.leader == asks()) {  // it is the leader, and grants nothing yet
+    awaiting_reply_ = false;
+    redirect_count_ = 0;
+    next_request_at_ = now + with_jitter(holder_.terms().term / kRetryPauseDivisor);
     return;
   }
-  const auto known = std::find(keepers_.begin(), keepers_.end(), elsewhere.leader);
-  // Guards against keepers that each take another for the leader: asked in a circle, as fast as they answer.
-  const bool in_a_circle = ++redirects_ > kRedirectsMost;
-  if (in_a_circle || elsewhere.leader == 0 || known == keepers_.end())
-    return try_next(now, spread(holder_.terms().term / kElsewherePart));
-  at_ = static_cast<std::size_t>(known - keepers_.begin());
-  waits_ = false;
-  due_ = now;
+  const auto leader_entry = std::find(keepers_.begin(), keepers_.end(), redirect.leader);
+  // Guards against keepers that each take another for the leader: requests would go round in a loop, as fast
+  // as they reply.
+  const bool redirect_loop = ++redirect_count_ > kMaxRedirects;
+  if (redirect_loop || redirect.leader == 0 || leader_entry == keepers_.end())
+    return try_next_keeper(now, with_jitter(holder_.terms().term / kRetryPauseDivisor));
+  current_keeper_ = static_cast<std::size_t>(leader_entry - keepers_.begin());
+  awaiting_reply_ = false;
+  next_request_at_ = now;
 }
 
 void MemberRole::link_down(TimeUs now, KeeperId keeper) {
-  if (waits_ && keeper == asks()) try_next(now, spread(holder_.terms().term / kElsewherePart));
+  if (awaiting_reply_ && keeper == asks())
+    try_next_keeper(now, with_jitter(holder_.terms().term / kRetryPauseDivisor));
 }
 
-void MemberRole::try_next(TimeUs now, TimeUs in) {
-  at_ = (at_ + 1) % keepers_.size();
-  waits_ = false;
-  redirects_ = 0;
-  due_ = now + in;
+void MemberRole::try_next_keeper(TimeUs now, TimeUs delay) {
+  current_keeper_ = (current_keeper_ + 1) % keepers_.size();
+  awaiting_reply_ = false;
+  redirect_count_ = 0;
+  next_request_at_ = now + delay;
 }
 
 void MemberRole::leave(TimeUs now) {
   holder_.leave();
-  waits_ = false;
-  due_ = now;
+  awaiting_reply_ = false;
+  next_request_at_ = now;
 }
 
 }  // namespace orchidgw::fleet
--- a/src/fleet/member_role.h
+++ b/src/fleet/member_role.h
@@ -1,5 +1,5 @@
-// A controller's part as a holder of leases: whom it asks, when, and what comes of it. A reducer: no I/O, no
-// clock; times are on the clock of `budget::Holder`.
+// A controller's role as a holder of leases: which keeper it sends its requests to, when, and what it does
+// with the replies. A reducer: no I/O, no clock; times are on the clock of `budget::Holder`.
 #pragma once
 
 #include <cstdint>
@@ -13,45 +13,49 @@
 
 class MemberRole {
  public:
-  // `keepers`: in the order of the file, one at least. `seed`: of where it begins and how asks are spread.
+  // `keepers`: at least one, in the order of the file. `seed`: for the choice of the first keeper and for the
+  // jitter of request times.
   MemberRole(budget::MemberKey self, budget::Terms own, std::vector<KeeperId> keepers, std::uint64_t seed);
 
-  // When the next ask is due; it goes to `asks()`.
-  TimeUs next_due() const { return waits_ ? answer_by_ : due_; }
+  // When the next request is due; it is to be sent to the keeper `asks()`.
+  TimeUs next_due() const { return awaiting_reply_ ? reply_deadline_ : next_request_at_; }
   bool due(TimeUs now) const { return now >= next_due(); }
-  KeeperId asks() const { return keepers_[at_]; }
+  KeeperId asks() const { return keepers_[current_keeper_]; }
+  // Makes the next request. `demand`, `in_use`: by allowance, see `budget::Holder::ask`.
   budget::Ask ask(TimeUs now, std::vector<budget::Parts> demand, const std::vector<budget::Parts>& in_use);
 
-  // True: what may be used has changed, or been prolonged.
-  bool told(TimeUs now, const GrantTold& told);
-  void told(TimeUs now, const Elsewhere& elsewhere);
-  void link_down(TimeUs now, KeeperId keeper);
+  // Handles a reply. True: the lease has changed or was renewed.
+  bool told(TimeUs now, const GrantTold& reply);
+  void told(TimeUs now, const Elsewhere& redirect);
+  void link_down(TimeUs now, KeeperId keeper);  // the connection to `keeper` was lost
 
-  // Some keeper led, by the last answer.
+  // Whether there was a leader, by the last reply.
   bool leader_known() const { return leader_known_; }
-  bool keys_settled() const { return keys_settled_; }  // likewise
+  // Whether all holds of keys from before the keepers' current log have expired, by the last reply.
+  bool keys_settled() const { return keys_settled_; }
 
+  // Gives the lease back; the next request, due at once, says so to the keepers.
   void leave(TimeUs now);
   const budget::Holder& holder() const { return holder_; }
 
  private:
-  TimeUs renew_after() const;
-  TimeUs answer_within() const;
-  TimeUs spread(TimeUs time);  // 0.9 to 1.1 of it
-  void try_next(TimeUs now, TimeUs in);
+  TimeUs renewal_interval() const;
+  TimeUs reply_timeout() const;
+  TimeUs with_jitter(TimeUs time);  // a random time from 0.9 to 1.1 of it
+  void try_next_keeper(TimeUs now, TimeUs delay);
 
   budget::Holder holder_;
   std::vector<KeeperId> keepers_;
-  std::size_t at_ = 0;
-  std::uint64_t random_;
+  std::size_t current_keeper_ = 0;
+  std::uint64_t random_state_;
   std::uint64_t last_seq_ = 0;
-  TimeUs asked_at_ = 0;
-  TimeUs due_ = 0;
-  TimeUs answer_by_ = 0;
-  bool waits_ = false;
+  TimeUs requested_at_ = 0;
+  TimeUs next_request_at_ = 0;
+  TimeUs reply_deadline_ = 0;
+  bool awaiting_reply_ = false;
   bool leader_known_ = false;
   bool keys_settled_ = false;
-  int redirects_ = 0;  // since the last answer
+  int redirect_count_ = 0;  // in a row
 };
 
 }  // namespace orchidgw::fleet
--- a/src/fleet/messages.h
+++ b/src/fleet/messages.h
@@ -1,5 +1,5 @@
-// What controllers of a fleet say to each other, as plain values (src/thrift/fleet_codec.h has their form on
-// the wire). No I/O.
+// The messages between the controllers of a fleet, as plain values (src/thrift/fleet_codec.h encodes them).
+// No I/O.
 #pragma once
 
 #include <compare>
@@ -17,43 +17,45 @@
 
 using KeeperId = std::uint32_t;  // from 1; 0: none
 
-// An entry's place in the log. Of two logs the one whose last entry is greater is ahead.
+// An entry's position in the log. Of two logs the one whose last entry has the greater position is ahead.
 struct LogPosition {
   std::uint64_t term = 0;
   std::uint64_t index = 0;
   auto operator<=>(const LogPosition&) const = default;
 };
 
-// How far a keeper's log is.
+// How far a keeper's log has come.
 struct LogStanding {
-  std::uint64_t term = 0;  // of the keeper
-  LogPosition last;        // entry that it has
-  LogPosition agreed;      // the last that it knows to be on a majority
+  std::uint64_t term = 0;  // the keeper's current Raft term
+  LogPosition last;        // last entry of its log
+  LogPosition agreed;      // last entry that it knows to be committed: stored by a majority
   bool operator==(const LogStanding&) const = default;
 };
 
-// First on each connection, both ways: keeps out by accident, not by intent, who belongs elsewhere.
+// The first message on each connection, in both directions. Rejects controllers of another fleet that connect
+// by mistake; it is no protection against attackers.
 struct Hello {
   std::uint32_t version = kVersion;
   std::string fleet;
   std::uint64_t number = 0;
   budget::MemberKey from;
   KeeperId keeper = 0;
-  std::vector<KeeperId> begun;  // a keeper's: which keepers it knows to have a log, itself too
-  LogStanding at;               // a keeper's: its log
+  std::vector<KeeperId> begun;  // from a keeper: the keepers, itself included, that it knows to have a log
+  LogStanding at;               // from a keeper: how far its log has come
   bool operator==(const Hello&) const = default;
 };
 
+// Reply to a lease request.
 struct GrantTold {
   budget::Grant grant;
-  std::vector<budget::Terms> terms;  // none, or those that the ask did not know
-  bool keys_settled = false;         // no key rests unknown from before the keepers' log
+  std::vector<budget::Terms> terms;  // none, or one: the current terms, where the request named other ones
+  bool keys_settled = false;         // holds of keys from before the keepers' current log have all expired
   bool operator==(const GrantTold&) const = default;
 };
 
-// Not this keeper: that one leads, if any is known.
+// Reply to a lease request that this keeper can't grant: `leader` is the keeper to ask, 0 if none is known.
 struct Elsewhere {
-  std::uint64_t seq = 0;
+  std::uint64_t seq = 0;  // of the request
   KeeperId leader = 0;
   bool operator==(const Elsewhere&) const = default;
 };
@@ -65,34 +67,37 @@
   bool operator==(const LogEntry&) const = default;
 };
 
-// What keepers say to each other about their log (Raft: Ongaro, Ousterhout 2014), one shape for all kinds.
+// A Raft message between keepers (Ongaro, Ousterhout 2014); one structure for all kinds.
 struct LogMessage {
   enum class Kind : std::uint32_t { kAppend = 1, kAppendResult, kVote, kVoteResult, kSnapshot, kTimeoutNow };
   Kind kind = Kind::kAppend;
   KeeperId from = 0;
   KeeperId to = 0;
   std::uint64_t term = 0;
-  std::uint64_t index = 0;       // before the entries; of the last entry; rejected, of a result
-  std::uint64_t index_term = 0;  // of that entry
-  std::uint64_t commit =
-      0;  // committed; the receiver's last, of a result; of the configuration, of a snapshot
+  // kAppend: index of the entry before `entries`. kAppendResult: the index that was rejected; 0: none was.
+  // Other kinds: index of the sender's last entry, or of the last one within a snapshot.
+  std::uint64_t index = 0;
+  std::uint64_t index_term = 0;  // term of the entry at `index`
+  // kAppend: index of the last committed entry. kAppendResult: index of the receiver's last entry. kSnapshot:
+  // index of the entry that has the configuration.
+  std::uint64_t commit = 0;
   bool granted = false;
   bool disrupt = false;
   std::uint32_t pre_vote = 0;
   std::vector<LogEntry> entries;
-  std::string configuration;  // of a snapshot, as is the one below
-  std::string data;
+  std::string configuration;  // kSnapshot: the servers and their roles
+  std::string data;           // kSnapshot: the state
   bool operator==(const LogMessage&) const = default;
 };
 
-// What an ask is answered with.
+// A reply to a request.
 using Answer = std::variant<GrantTold, Elsewhere, promises::KeyTold>;
 
 using Message =
     std::variant<Hello, budget::Ask, GrantTold, Elsewhere, LogMessage, promises::KeyAsk, promises::KeyTold>;
 
 inline Message message_of(const Answer& answer) {
-  return std::visit([](const auto& one) { return Message(one); }, answer);
+  return std::visit([](const auto& alternative) { return Message(alternative); }, answer);
 }
 
 }  // namespace orchidgw::fleet
