--- a/src/store/intent_store.cpp
+++ b/src/store/intent_store.cpp
@@ -5,39 +5,39 @@
 namespace orchidgw::store {
 namespace {
 
-std::string record_of(const Intent& one) {
+std::string encode(const Intent& intent) {
   std::string out;
-  put_text(out, one.identity);
-  put_text(out, one.boot);
-  put(out, static_cast<std::uint64_t>(one.at));
-  put(out, static_cast<std::uint64_t>(one.window));
-  return with_sum(out);
+  append_text(out, intent.identity);
+  append_text(out, intent.boot);
+  append_number(out, static_cast<std::uint64_t>(intent.at));
+  append_number(out, static_cast<std::uint64_t>(intent.window));
+  return with_checksum(out);
 }
 
-Intent intent_of(std::uint64_t serial, std::string_view kept) {
-  std::string_view record = without_sum(kept, "intents");
+Intent decode(std::uint64_t serial, std::string_view stored) {
+  std::string_view record = without_checksum(stored, "intents");
   Intent out;
   out.serial = serial;
-  out.identity = take_text(record);
-  out.boot = take_text(record);
-  out.at = static_cast<TimeUs>(take(record));
-  out.window = static_cast<TimeUs>(take(record));
+  out.identity = read_text(record);
+  out.boot = read_text(record);
+  out.at = static_cast<TimeUs>(read_number(record));
+  out.window = static_cast<TimeUs>(read_number(record));
   return out;
 }
 
 }  // namespace
 
 struct IntentStore::Impl {
-  Impl(const std::string& folder, std::size_t bytes_most) : environment(folder, bytes_most, false) {}
+  Impl(const std::string& folder, std::size_t max_bytes) : environment(folder, max_bytes, false) {}
   Environment environment;
   MDB_dbi intents = 0;
 };
 
-IntentStore::IntentStore(const std::string& folder, std::size_t bytes_most)
-    : impl_(std::make_unique<Impl>(folder, bytes_most)) {
-  naming(folder, [this] {
+IntentStore::IntentStore(const std::string& folder, std::size_t max_bytes)
+    : impl_(std::make_unique<Impl>(folder, max_bytes)) {
+  name_folder_in_errors(folder, [this] {
     Transaction txn(impl_->environment.get(), 0);
-    check(mdb_dbi_open(txn.get(), "intents", MDB_CREATE | MDB_INTEGERKEY, &impl_->intents), "intents");
+    check_result(mdb_dbi_open(txn.get(), "intents", MDB_CREATE | MDB_INTEGERKEY, &impl_->intents), "intents");
     txn.commit();
   });
 }
@@ -45,29 +45,29 @@
 IntentStore::~IntentStore() = default;
 
 std::vector<Intent> IntentStore::load() {
-  return naming(impl_->environment.folder(), [this] {
+  return name_folder_in_errors(impl_->environment.folder(), [this] {
     std::vector<Intent> out;
     const Transaction txn(impl_->environment.get(), MDB_RDONLY);
-    each_record(txn.get(), impl_->intents, "intents", [&out](std::uint64_t serial, std::string_view record) {
-      out.push_back(intent_of(serial, record));
-    });
+    for_each_record(
+        txn.get(), impl_->intents, "intents",
+        [&out](std::uint64_t serial, std::string_view record) { out.push_back(decode(serial, record)); });
     return out;
   });
 }
 
-void IntentStore::commit(const std::vector<Intent>& put, const std::vector<std::uint64_t>& erase) {
+void IntentStore::commit(const std::vector<Intent>& added, const std::vector<std::uint64_t>& erased) {
   Transaction txn(impl_->environment.get(), 0);
-  for (std::uint64_t serial : erase) {
+  for (std::uint64_t serial : erased) {
     MDB_val key{sizeof serial, &serial};
     const int code = mdb_del(txn.get(), impl_->intents, &key, nullptr);
-    if (code != MDB_NOTFOUND) check(code, "intents");
+    if (code != MDB_NOTFOUND) check_result(code, "intents");
   }
-  for (const Intent& one : put) {
-    std::uint64_t serial = one.serial;
-    const std::string record = record_of(one);
+  for (const Intent& intent : added) {
+    std::uint64_t serial = intent.serial;
+    const std::string record = encode(intent);
     MDB_val key{sizeof serial, &serial};
-    MDB_val value = value_of(record);
-    check(mdb_put(txn.get(), impl_->intents, &key, &value, 0), "intents");
+    MDB_val value = to_mdb_val(record);
+    check_result(mdb_put(txn.get(), impl_->intents, &key, &value, 0), "intents");
   }
   txn.commit();
 }
--- a/src/store/intent_store.h
+++ b/src/store/intent_store.h
@@ -1,5 +1,5 @@
-// Intents on a disk: what was sent, or is about to be, that must not run twice. Blocks while the disk writes:
-// not for the loop's thread.
+// Intents on a disk: which queries that must not run twice were sent, or are about to be. Calls block while
+// the disk writes, so they must not be made in the event loop's thread.
 #pragma once
 
 #include <cstdint>
@@ -14,22 +14,24 @@
 
 struct Intent {
   std::uint64_t serial = 0;
-  std::string identity;  // of the query, for who sends it again
-  std::string boot;      // the start of the machine that `at` counts from
-  TimeUs at = 0;         // before the attempt was sent
-  TimeUs window = 0;     // how long it rests from then on
+  std::string identity;  // of the query, by which a repeated one is recognized
+  std::string boot;      // id of the machine's boot, from which `at` counts
+  TimeUs at = 0;         // a time before the attempt was sent
+  TimeUs window = 0;     // how long the key is held from then on
   bool operator==(const Intent&) const = default;
 };
 
 class IntentStore {
  public:
-  // `folder` must be there. Throws StoreError naming it and the reason; two processes can't have it at once.
-  IntentStore(const std::string& folder, std::size_t bytes_most);
+  // `folder` must exist; only one process at a time can have it open. `max_bytes`: bound on the file's size.
+  // Throws StoreError that names the folder and the reason.
+  IntentStore(const std::string& folder, std::size_t max_bytes);
   ~IntentStore();
 
   std::vector<Intent> load();
-  // All of both or nothing, durable on return. Throws StoreError.
-  void commit(const std::vector<Intent>& put, const std::vector<std::uint64_t>& erase);
+  // Adds the intents `added` and erases those with the serials `erased`: both whole or nothing, durable on
+  // return. Throws StoreError.
+  void commit(const std::vector<Intent>& added, const std::vector<std::uint64_t>& erased);
 
  private:
   struct Impl;
--- a/src/store/lmdb_environment.h
+++ b/src/store/lmdb_environment.h
@@ -1,5 +1,5 @@
-// What both stores share of LMDB: the file with its lock, transactions, records with their sums. For this
-// package alone.
+// LMDB helpers that both stores share: the database file with its lock, transactions, records with checksums.
+// Internal to this package.
 #pragma once
 
 #include <lmdb.h>
@@ -13,37 +13,41 @@
 
 namespace orchidgw::store {
 
-void check(int code, const char* what);  // throws StoreError where it is none of 0
+// Throws StoreError unless `code` is 0; its text begins with `what`.
+void check_result(int code, const char* what);
 
-inline MDB_val value_of(std::string_view bytes) { return {bytes.size(), const_cast<char*>(bytes.data())}; }
+inline MDB_val to_mdb_val(std::string_view bytes) { return {bytes.size(), const_cast<char*>(bytes.data())}; }
 inline std::string_view bytes_of(const MDB_val& value) {
   return {static_cast<const char*>(value.mv_data), value.mv_size};
 }
 
-// Numbers in eight bytes each, the machine's own order: a store stays with its machine.
-void put(std::string& out, std::uint64_t number);
-void put_text(std::string& out, std::string_view text);
-std::uint64_t take(std::string_view& in);  // throws StoreError where it is too short
-std::string take_text(std::string_view& in);
+// Encoding of records. A number takes eight bytes in the machine's byte order, so a store can't be moved to
+// another kind of machine. A text is its size and its bytes. Reading removes what it read from `in`.
+void append_number(std::string& out, std::uint64_t number);
+void append_text(std::string& out, std::string_view text);
+std::uint64_t read_number(std::string_view& in);  // throws StoreError where `in` is too short
+std::string read_text(std::string_view& in);
 
-// LMDB has no sums of its own: guards against a disk that gives back other bytes than it took.
-std::string with_sum(const std::string& record);
-std::string_view without_sum(std::string_view kept, const char* what);  // throws where it is another
+// LMDB has no checksums of its own: these guard against a disk that returns other bytes than were written.
+// `without_checksum` throws StoreError on a mismatch; its text begins with `what`.
+std::string with_checksum(const std::string& record);
+std::string_view without_checksum(std::string_view stored, const char* what);
 
-// Runs `work`; a StoreError out of it names the folder.
-template <typename Work>
-auto naming(const std::string& folder, Work work) {
+// Runs `operation` and returns its result; puts the folder's name before the text of a StoreError.
+template <typename Operation>
+auto name_folder_in_errors(const std::string& folder, Operation operation) {
   try {
-    return work();
+    return operation();
   } catch (const StoreError& e) {
     throw StoreError(folder + ": " + e.what(), e.full());
   }
 }
 
-// One folder's file, of this process alone. Throws StoreError naming the folder and the reason.
+// The open database file of a folder, locked for this process alone. The constructor throws StoreError that
+// names the folder and the reason, StoreUnavailable where a retry may succeed.
 class Environment {
  public:
-  Environment(const std::string& folder, std::size_t bytes_most, bool reads);
+  Environment(const std::string& folder, std::size_t max_bytes, bool read_only);
   ~Environment();
   Environment(const Environment&) = delete;
   Environment& operator=(const Environment&) = delete;
@@ -53,17 +57,19 @@
  private:
   std::string folder_;
   MDB_env* env_ = nullptr;
-  int lock_ = -1;
+  int lock_fd_ = -1;
 };
 
-// Each record of a table with numbers for keys, in their order.
-void each_record(MDB_txn* txn, MDB_dbi table, const char* what,
-                 const std::function<void(std::uint64_t number, std::string_view record)>& take);
+// Calls `callback` with each record of a table with numbers for keys, in ascending order.
+void for_each_record(MDB_txn* txn, MDB_dbi table, const char* what,
+                     const std::function<void(std::uint64_t number, std::string_view record)>& callback);
 
-// Given up unless it was committed.
+// Aborted by the destructor unless it was committed.
 class Transaction {
  public:
-  Transaction(MDB_env* env, unsigned flags) { check(mdb_txn_begin(env, nullptr, flags, &txn_), "begin"); }
+  Transaction(MDB_env* env, unsigned flags) {
+    check_result(mdb_txn_begin(env, nullptr, flags, &txn_), "begin");
+  }
   ~Transaction();
   Transaction(const Transaction&) = delete;
   Transaction& operator=(const Transaction&) = delete;
--- a/src/store/lmdb_store.h
+++ b/src/store/lmdb_store.h
@@ -1,5 +1,6 @@
-// A LogStore on LMDB: one file that is never in between two commits, whenever the power goes. Its size is
-// bounded: past it a commit fails as on a full disk. Blocks while the disk writes: not for the loop's thread.
+// A LogStore on LMDB: one file, which a power failure always leaves in the state of a whole commit. Its size
+// is bounded: beyond the bound a commit fails as on a full disk. Calls block while the disk writes, so they
+// must not be made in the event loop's thread.
 #pragma once
 
 #include <functional>
@@ -10,18 +11,17 @@
 
 namespace orchidgw::store {
 
-inline constexpr std::size_t kKeeperBytes = std::size_t{256} * 1024 * 1024;  // the log is compacted far below
+// Bound on the size of a keeper's store; its log is compacted long before it grows so large.
+inline constexpr std::size_t kKeeperBytes = std::size_t{256} * 1024 * 1024;
 
 class LmdbStore final : public LogStore {
  public:
-  enum class Open {
-    kWrite,
-    kRead
-  };  // kRead changes no record (a file shorter than its pages is made longer),
-      // and finds nothing where there is no store
-
-  // `folder` must be there. Throws StoreError naming it and the reason; two processes can't have it at once.
-  LmdbStore(const std::string& folder, std::size_t bytes_most, Open open = Open::kWrite);
+  // kRead changes no record (a file that is shorter than its page count is extended), and creates no store.
+  enum class Open { kWrite, kRead };
+
+  // `folder` must exist; only one process at a time can have it open. `max_bytes`: bound on the file's size.
+  // Throws StoreError that names the folder and the reason.
+  LmdbStore(const std::string& folder, std::size_t max_bytes, Open open = Open::kWrite);
   ~LmdbStore() override;
 
   Stored load() override;
@@ -30,7 +30,7 @@
   void set_vote(std::uint64_t vote) override;
   void append(std::uint64_t first, std::vector<StoredEntry> entries) override;
   void truncate(std::uint64_t from) override;
-  void put_snapshot(StoredSnapshot snapshot, std::uint64_t keep_after) override;
+  void put_snapshot(StoredSnapshot snapshot, std::uint64_t drop_through) override;
   std::optional<StoredSnapshot> snapshot() override;
   bool waiting() const override;
   void commit() override;
--- a/src/store/log_store.h
+++ b/src/store/log_store.h
@@ -1,5 +1,5 @@
-// What a keeper must find again after a crash: its term, its vote, its log and the last snapshot. No library
-// shows here; `LmdbStore` keeps it on a disk.
+// The state of a keeper that has to survive a crash: its Raft term, its vote, its log and the last snapshot.
+// This interface names no library; `LmdbStore` implements it on a disk.
 #pragma once
 
 #include <cstdint>
@@ -13,7 +13,8 @@
 
 namespace orchidgw::store {
 
-inline constexpr std::uint32_t kCommandEntry = 1;  // carries what was agreed on; others are the log's own
+// Type of the entries that hold a fleet::Entry; other types are internal to Raft.
+inline constexpr std::uint32_t kCommandEntry = 1;
 
 struct StoredEntry {
   std::uint64_t term = 0;
@@ -23,46 +24,47 @@
 };
 
 struct StoredSnapshot {
-  std::uint64_t index = 0;  // of the last entry within it
+  std::uint64_t index = 0;  // of the last entry that the snapshot covers
   std::uint64_t term = 0;
-  std::uint64_t configuration_index = 0;
-  std::string configuration;
-  std::string data;
+  std::uint64_t configuration_index = 0;  // of the entry that has the configuration
+  std::string configuration;              // the servers and their roles
+  std::string data;                       // the state
   bool operator==(const StoredSnapshot&) const = default;
 };
 
-// Whose log it is, and which keepers that one knows to have begun theirs.
+// The keeper that a log belongs to, and the keepers that it knows to have started a log.
 struct StoredOwner {
-  std::string fleet;
-  std::uint64_t number = 0;
-  std::uint32_t keeper = 0;
+  std::string fleet;         // name of the fleet
+  std::uint64_t number = 0;  // of the fleet
+  std::uint32_t keeper = 0;  // id
   std::set<std::uint32_t> begun;
   bool operator==(const StoredOwner&) const = default;
 };
 
+// All that a store holds.
 struct Stored {
-  std::optional<StoredOwner> owner;  // none: nobody's, or written before there was one
+  std::optional<StoredOwner> owner;  // none: the store is new, or was written by a version without owners
   std::uint64_t term = 0;
-  std::uint64_t vote = 0;  // 0: none in this term
+  std::uint64_t vote = 0;  // the keeper that got this one's vote in `term`; 0: none
   std::optional<StoredSnapshot> snapshot;
-  std::uint64_t first = 1;  // index of the first entry
+  std::uint64_t first = 1;  // index of entries[0]
   std::vector<StoredEntry> entries;
-  // No log, whoever's it is.
+  // True: there is no log; `owner` may be set all the same.
   bool empty() const { return term == 0 && !snapshot && entries.empty(); }
   bool operator==(const Stored&) const = default;
 };
 
-// Nothing of what was asked since the last commit is stored, and all before it is.
+// A failure of the store. Nothing written since the last commit is stored; everything before it is.
 class StoreError : public std::runtime_error {
  public:
   StoreError(const std::string& what, bool full) : std::runtime_error(what), full_(full) {}
-  bool full() const { return full_; }  // no space is left
+  bool full() const { return full_; }  // there is no space left
 
  private:
   bool full_;
 };
 
-// A store that can't be opened for want of something that others give back.
+// The store can't be opened for lack of a resource that others may free: a retry may succeed.
 class StoreUnavailable : public StoreError {
  public:
   StoreUnavailable(const std::string& what, const SystemCallError& cause)
@@ -73,21 +75,22 @@
   SystemCallError cause_;
 };
 
-// Calls gather in order until `commit`, which makes them durable together: all or none. Those that gather
-// never fail; `load` and `commit` throw StoreError.
+// Writes are buffered in order until `commit`, which makes them durable together: all or none of them.
+// Buffering never fails; `load` and `commit` throw StoreError.
 class LogStore {
  public:
   virtual ~LogStore() = default;
-  virtual Stored load() = 0;
+  virtual Stored load() = 0;  // reads all that is committed
   virtual void set_owner(const StoredOwner& owner) = 0;
-  virtual void set_term(std::uint64_t term) = 0;  // forgets the vote
+  virtual void set_term(std::uint64_t term) = 0;  // resets the vote
   virtual void set_vote(std::uint64_t vote) = 0;
+  // `first`: index of the first of `entries`.
   virtual void append(std::uint64_t first, std::vector<StoredEntry> entries) = 0;
-  virtual void truncate(std::uint64_t from) = 0;  // this entry and all behind it
-  // Entries up to `keep_after` go with it.
-  virtual void put_snapshot(StoredSnapshot snapshot, std::uint64_t keep_after) = 0;
-  virtual std::optional<StoredSnapshot> snapshot() = 0;  // the last one committed
-  virtual bool waiting() const = 0;                      // something was asked since the last commit
+  virtual void truncate(std::uint64_t from) = 0;  // removes the entry `from` and all after it
+  // Replaces the snapshot and removes the entries up to `drop_through`, included.
+  virtual void put_snapshot(StoredSnapshot snapshot, std::uint64_t drop_through) = 0;
+  virtual std::optional<StoredSnapshot> snapshot() = 0;  // the committed one
+  virtual bool waiting() const = 0;                      // true: there are writes since the last commit
   virtual void commit() = 0;
 };
 
