--- a/src/keeper/keeper.cpp
+++ b/src/keeper/keeper.cpp
@@ -16,13 +16,13 @@
 
 constexpr TimeUs kUsPerMs = 1000;
 static_assert(store::kCommandEntry == RAFT_COMMAND);
-constexpr int kLackingMost = 8;
-// Times an election's: then a snapshot that has no answer is sent again. Guards against libraft's own 30 s,
-// for which a keeper is no copy because a connection was cut.
-constexpr unsigned kSnapshotElections = 4;
+constexpr int kMaxStaleRejections = 8;  // see check_for_stale_follower
+// Multiple of the election timeout after which a snapshot without a reply is sent again. With libraft's
+// default of 30 s a keeper would have no copy of the log for that long after a connection was lost.
+constexpr unsigned kSnapshotTimeoutElections = 4;
 constexpr std::uint64_t kAllEntries = ~std::uint64_t{0};
 
-raft_configuration voting(const std::vector<fleet::KeeperId>& voters) {  // to be closed
+raft_configuration voter_configuration(const std::vector<fleet::KeeperId>& voters) {  // the caller closes it
   raft_configuration out;
   raft_configuration_init(&out);
   for (const fleet::KeeperId id : voters)
@@ -32,9 +32,10 @@
 
 }  // namespace
 
-// What libraft calls back. No exception may cross it: the store is asked in `settle` alone.
+// The callbacks of libraft. No exception may be thrown through its C code, so they only buffer writes; the
+// store commits them in `settle`.
 struct Keeper::Impl {
-  struct Request {  // of an entry proposed here
+  struct Proposal {  // one entry that was proposed here; freed in entry_done
     struct raft_apply raft {};
     Impl* impl = nullptr;
   };
@@ -53,34 +54,35 @@
   raft_io_recv_cb receive = nullptr;
   std::mt19937_64 random;
   std::map<raft_id, std::string> addresses;
-  // What goes on once all that was asked of the store is durable; those with `true` are being closed instead.
+  // To be called once all pending writes of the store are durable; with `true` when this object is being
+  // closed instead.
   std::deque<std::function<void(bool)>> after_commit;
   std::vector<fleet::LogMessage> outbox;
   std::string failure;
-  bool knows_all = false;    // leading, and its barrier came through
-  bool barrier_out = false;  // of this leadership
+  bool ready_to_lead = false;    // it is the leader, and its barrier entry was applied
+  bool barrier_pending = false;  // the barrier entry of this leadership was proposed
   struct raft_barrier barrier {};
   std::uint64_t finished = 0;
-  std::optional<raft_io_close_cb> closing;
-  std::map<std::uint64_t, std::uint64_t> terms;  // by index: of entries that are not known to be agreed on
-  fleet::LogPosition agreed;
-  std::uint64_t led_term = 0;
+  std::optional<raft_io_close_cb> close_done;
+  std::map<std::uint64_t, std::uint64_t> uncommitted_terms;  // by index: of entries not known to be committed
+  fleet::LogPosition committed;                              // last entry known to be committed
+  std::uint64_t tracked_term = 0;                            // the term that `followers` belongs to
   struct Follower {
-    std::uint64_t acknowledged = 0;  // the last index
-    int lacking = 0;                 // so many times in a row it said that it has less than that
+    std::uint64_t acknowledged = 0;  // highest index that it has acknowledged
+    int stale_rejections = 0;        // rejections in a row by which it has less than that
   };
-  std::map<fleet::KeeperId, Follower> followers;  // in that term
+  std::map<fleet::KeeperId, Follower> followers;  // of this leader
 
   Impl(const Options& o, store::LogStore& s, fleet::Replica& r)
       : options(o), store(s), replica(r), random(o.seed) {}
 
   static Impl& of(raft_io* io) { return *static_cast<Impl*>(io->impl); }
 
-  // --- What libraft asks for ---
+  // --- Callbacks of libraft ---
 
   static int init(raft_io*, raft_id, const char*) { return 0; }
 
-  static void close(raft_io* io, raft_io_close_cb done) { of(io).closing = done; }
+  static void close(raft_io* io, raft_io_close_cb done) { of(io).close_done = done; }
 
   static int load(raft_io* io, raft_term* term, raft_id* voted_for, raft_snapshot** snapshot,
                   raft_index* first, raft_entry** entries, size_t* n) {
@@ -88,11 +90,11 @@
     const store::Stored stored = self.store.load();
     *term = stored.term;
     *voted_for = stored.vote;
-    *snapshot = stored.snapshot ? raft_snapshot_of(*stored.snapshot) : nullptr;
+    *snapshot = stored.snapshot ? to_raft_snapshot(*stored.snapshot) : nullptr;
     if (stored.snapshot && *snapshot == nullptr) return RAFT_CORRUPT;
     *first = stored.first;
     *n = stored.entries.size();
-    *entries = raft_entries(
+    *entries = make_raft_entries(
         *n, [&](std::size_t i) -> const auto& { return stored.entries[i]; });
     return 0;
   }
@@ -131,9 +133,9 @@
   static int send(raft_io* io, raft_io_send* request, const raft_message* message, raft_io_send_cb done) {
     Impl& self = of(io);
     request->cb = done;
-    // Guards against libraft 0.15: a keeper that came to lead, or to stand, while it stored a snapshot
-    // answers whom it takes for its leader, which by then is another field's bytes (its `installSnapshotCb`).
-    // Met with slow disks, schedules 501 to 600.
+    // Guards against a fault of libraft 0.15 (its `installSnapshotCb`): a keeper that became leader or
+    // candidate while it stored a snapshot replies to the server that it takes for its leader, and reads the
+    // id of that from memory that another field uses by then. Occurred with slow disks, schedules 501 to 600.
     if (self.addresses.contains(message->server_id))
       self.outbox.push_back(to_message(*message, self.options.id));
     self.after_commit.emplace_back(
@@ -145,7 +147,7 @@
                     raft_io_append_cb done) {
     Impl& self = of(io);
     std::vector<store::StoredEntry> stored;
-    for (unsigned i = 0; i < n; ++i) self.terms[self.append_at + i] = entries[i].term;
+    for (unsigned i = 0; i < n; ++i) self.uncommitted_terms[self.append_at + i] = entries[i].term;
     for (unsigned i = 0; i < n; ++i)
       stored.push_back({entries[i].term, entries[i].type, std::string(bytes_of(entries[i].buf))});
     request->cb = done;
@@ -159,7 +161,7 @@
   static int truncate(raft_io* io, raft_index index) {
     Impl& self = of(io);
     self.store.truncate(index);
-    self.terms.erase(self.terms.lower_bound(index), self.terms.end());
+    self.uncommitted_terms.erase(self.uncommitted_terms.lower_bound(index), self.uncommitted_terms.end());
     self.append_at = index;
     return 0;
   }
@@ -167,16 +169,16 @@
   static int snapshot_put(raft_io* io, unsigned trailing, raft_io_snapshot_put* request,
                           const raft_snapshot* snapshot, raft_io_snapshot_put_cb done) {
     Impl& self = of(io);
-    store::StoredSnapshot stored = stored_of(*snapshot);
-    std::uint64_t keep_after = stored.index > trailing ? stored.index - trailing : 0;
-    if (trailing == 0) {  // one of a leader's: it replaces all there was
-      keep_after = kAllEntries;
+    store::StoredSnapshot stored = to_stored_snapshot(*snapshot);
+    std::uint64_t drop_through = stored.index > trailing ? stored.index - trailing : 0;
+    if (trailing == 0) {  // received from the leader: it replaces the whole log
+      drop_through = kAllEntries;
       self.append_at = stored.index + 1;
-      self.terms.clear();
-      self.agreed = {stored.term, stored.index};
+      self.uncommitted_terms.clear();
+      self.committed = {stored.term, stored.index};
     }
     request->cb = done;
-    self.store.put_snapshot(std::move(stored), keep_after);
+    self.store.put_snapshot(std::move(stored), drop_through);
     self.after_commit.emplace_back(
         [request](bool closed) { request->cb(request, closed ? RAFT_CANCELED : 0); });
     return 0;
@@ -188,7 +190,7 @@
     self.after_commit.emplace_back([&self, request](bool closed) {
       if (closed) return request->cb(request, nullptr, RAFT_CANCELED);
       const auto stored = self.store.snapshot();
-      raft_snapshot* snapshot = stored ? raft_snapshot_of(*stored) : nullptr;
+      raft_snapshot* snapshot = stored ? to_raft_snapshot(*stored) : nullptr;
       request->cb(request, snapshot, snapshot == nullptr ? RAFT_NOTFOUND : 0);
     });
     return 0;
@@ -211,7 +213,7 @@
     const auto& self = *static_cast<Impl*>(fsm->data);
     *buffers = static_cast<raft_buffer*>(raft_malloc(sizeof(raft_buffer)));
     if (*buffers == nullptr) return RAFT_NOMEM;
-    (*buffers)[0] = raft_copy(thrift::write_state(self.replica.state()));
+    (*buffers)[0] = copy_to_raft_buffer(thrift::write_state(self.replica.state()));
     *n = 1;
     return 0;
   }
@@ -225,9 +227,9 @@
     return 0;
   }
 
-  // --- Driving it ---
+  // --- Driving libraft ---
 
-  void wire() {
+  void set_callbacks() {
     io.version = 1;
     io.impl = this;
     io.init = init;
@@ -256,9 +258,9 @@
     if (code != 0) throw KeeperError(std::string(what) + ": " + raft_errmsg(&core));
   }
 
-  void begin() {
+  void start_core() {
     for (const fleet::KeeperId id : options.voters) addresses[id] = address_of(id);
-    raft_configuration configuration = voting(options.voters);
+    raft_configuration configuration = voter_configuration(options.voters);
     const store::Stored found = store.load();
     if (found.empty()) {
       const int code = raft_bootstrap(&core, &configuration);
@@ -270,43 +272,45 @@
     }
     const store::Stored stored = store.load();
     append_at = stored.first + stored.entries.size();
-    if (stored.snapshot) agreed = {stored.snapshot->term, stored.snapshot->index};
+    if (stored.snapshot) committed = {stored.snapshot->term, stored.snapshot->index};
     for (std::size_t i = 0; i < stored.entries.size(); ++i)
-      if (stored.first + i > agreed.index) terms[stored.first + i] = stored.entries[i].term;
+      if (stored.first + i > committed.index) uncommitted_terms[stored.first + i] = stored.entries[i].term;
     raft_set_heartbeat_timeout(&core, options.heartbeat_ms);
     raft_set_election_timeout(&core, options.election_ms);
     raft_set_snapshot_threshold(&core, options.compact_after);
     raft_set_snapshot_trailing(&core, options.kept_behind);
     raft_set_pre_vote(&core, true);
-    raft_set_install_snapshot_timeout(&core, kSnapshotElections * options.election_ms);
+    raft_set_install_snapshot_timeout(&core, kSnapshotTimeoutElections * options.election_ms);
     check(raft_start(&core), "start");
     started = true;
-    look();
+    update_leadership();
   }
 
-  // A new leader knows that it has all of its predecessors' entries once one of its own came through.
-  void look() {
+  // Tracks whether this keeper is the leader. A new leader has applied all of its predecessors' entries once
+  // an entry of its own, a barrier, was applied.
+  void update_leadership() {
     if (raft_state(&core) != RAFT_LEADER) {
-      knows_all = false;
+      ready_to_lead = false;
       return;
     }
-    if (knows_all || barrier_out) return;
+    if (ready_to_lead || barrier_pending) return;
     barrier.data = this;
-    barrier_out = raft_barrier(&core, &barrier, barrier_done) == 0;
+    barrier_pending = raft_barrier(&core, &barrier, barrier_done) == 0;
   }
 
   static void barrier_done(struct raft_barrier* request, int status) {
     auto& self = *static_cast<Impl*>(request->data);
-    self.barrier_out = false;
-    self.knows_all = status == 0 && raft_state(&self.core) == RAFT_LEADER;
+    self.barrier_pending = false;
+    self.ready_to_lead = status == 0 && raft_state(&self.core) == RAFT_LEADER;
   }
 
   static void entry_done(struct raft_apply* raft, int, void*) {
-    const std::unique_ptr<Request> request(static_cast<Request*>(raft->data));
+    const std::unique_ptr<Proposal> request(static_cast<Proposal*>(raft->data));
     ++request->impl->finished;
   }
 
-  void go_on(bool closed) {
+  // Runs callbacks until one of them writes to the store: the ones after it have to wait for another commit.
+  void run_after_commit(bool closed) {
     while (!after_commit.empty()) {
       const auto next = std::move(after_commit.front());
       after_commit.pop_front();
@@ -315,24 +319,26 @@
     }
   }
 
-  // Guards against a follower that never catches up: started on an old copy of its disk it lacks what it has
-  // acknowledged, and libraft takes its word for that as one that comes late. A new leader begins to count
-  // anew; libraft has no word for stepping down, but the word of a later term has it do so. Said once
-  // it may be a word that was overtaken by its acknowledgement.
-  void look_for_old_disk(const fleet::LogMessage& message) {
+  // Guards against a follower that never catches up: restarted on an old copy of its disk, it lacks entries
+  // that it has acknowledged, and libraft ignores its rejections as messages that arrive late. Another
+  // leadership tracks its followers from scratch, so this leader steps down. libraft has no call for that,
+  // but a message of a later term makes it do so. One rejection may just have been overtaken by a later
+  // acknowledgement, so several in a row are needed.
+  void check_for_stale_follower(const fleet::LogMessage& message) {
     using Kind = fleet::LogMessage::Kind;
     if (raft_state(&core) != RAFT_LEADER || message.kind != Kind::kAppendResult) return;
     if (message.term != core.current_term) return;
-    if (std::exchange(led_term, core.current_term) != core.current_term) followers.clear();
-    Follower& from = followers[message.from];
+    if (std::exchange(tracked_term, core.current_term) != core.current_term) followers.clear();
+    Follower& follower = followers[message.from];
     const bool rejected = message.index != 0;
-    if (!rejected) from.acknowledged = std::max(from.acknowledged, message.commit);
-    from.lacking = rejected && message.commit < from.acknowledged ? from.lacking + 1 : 0;
-    if (from.lacking < kLackingMost) return;
-    fleet::LogMessage later = message;
-    later.term = core.current_term + 1;
-    raft_message raw;
-    if (from_message(later, addresses.at(message.from).c_str(), raw)) receive(&io, &raw);
+    if (!rejected) follower.acknowledged = std::max(follower.acknowledged, message.commit);
+    follower.stale_rejections =
+        rejected && message.commit < follower.acknowledged ? follower.stale_rejections + 1 : 0;
+    if (follower.stale_rejections < kMaxStaleRejections) return;
+    fleet::LogMessage newer = message;
+    newer.term = core.current_term + 1;
+    raft_message raft_form;
+    if (to_raft_message(newer, addresses.at(message.from).c_str(), raft_form)) receive(&io, &raft_form);
   }
 
   void settle() {
@@ -340,27 +346,28 @@
     try {
       do {
         store.commit();
-        go_on(false);
-        look();
+        run_after_commit(false);
+        update_leadership();
       } while (store.waiting() || !after_commit.empty());
     } catch (const std::exception& e) {
       failure = e.what();
-      outbox.clear();  // it may tell of what is not stored
-      knows_all = false;
+      outbox.clear();  // its messages may depend on writes that are not stored
+      ready_to_lead = false;
     }
-    for (auto it = terms.begin(); it != terms.end() && it->first <= core.commit_index; it = terms.erase(it))
-      agreed = {it->second, it->first};
+    for (auto it = uncommitted_terms.begin(); it != uncommitted_terms.end() && it->first <= core.commit_index;
+         it = uncommitted_terms.erase(it))
+      committed = {it->second, it->first};
     if (failure.empty() && raft_state(&core) == RAFT_UNAVAILABLE) failure = raft_errmsg(&core);
   }
 
-  void shut() {
+  void close_core() {
     if (!started) {
       raft_close(&core, nullptr);
     } else {
       raft_close(&core, [](raft*) {});
     }
-    go_on(true);
-    if (closing) (*closing)(&io);
+    run_after_commit(true);
+    if (close_done) (*close_done)(&io);
   }
 
   std::uint64_t append_at = 1;  // index of the next entry that is stored
@@ -368,10 +375,10 @@
 
 std::vector<fleet::KeeperId> voters_of(const store::Stored& stored) {
   for (auto it = stored.entries.rbegin(); it != stored.entries.rend(); ++it)
-    if (it->type == RAFT_CHANGE) return voters_in(it->data);
+    if (it->type == RAFT_CHANGE) return voters_in_entry(it->data);
   std::vector<fleet::KeeperId> out;
   raft_configuration configuration;
-  if (!stored.snapshot || !read_configuration(stored.snapshot->configuration, configuration)) return out;
+  if (!stored.snapshot || !decode_configuration(stored.snapshot->configuration, configuration)) return out;
   for (unsigned i = 0; i < configuration.n; ++i)
     if (configuration.servers[i].role == RAFT_VOTER)
       out.push_back(static_cast<fleet::KeeperId>(configuration.servers[i].id));
@@ -380,8 +387,8 @@
 }
 
 std::string configuration_of(const std::vector<fleet::KeeperId>& voters) {
-  raft_configuration configuration = voting(voters);
-  std::string out = write_configuration(configuration);
+  raft_configuration configuration = voter_configuration(voters);
+  std::string out = encode_configuration(configuration);
   raft_configuration_close(&configuration);
   return out;
 }
@@ -389,39 +396,39 @@
 Keeper::Keeper(const Options& options, store::LogStore& store, fleet::Replica& replica, TimeUs now)
     : impl_(std::make_unique<Impl>(options, store, replica)) {
   impl_->now = now;
-  impl_->wire();
+  impl_->set_callbacks();
   const std::string address = address_of(options.id);
   if (raft_init(&impl_->core, &impl_->io, &impl_->fsm, options.id, address.c_str()) != 0)
-    throw KeeperError("the log can't be set up");
+    throw KeeperError("libraft can't be initialized");
   impl_->core.data = impl_.get();
   try {
-    impl_->begin();
+    impl_->start_core();
   } catch (...) {
-    impl_->shut();
+    impl_->close_core();
     throw;
   }
 }
 
-Keeper::~Keeper() { impl_->shut(); }
+Keeper::~Keeper() { impl_->close_core(); }
 
 void Keeper::advance(TimeUs now) {
   impl_->now = std::max(impl_->now, now);
   if (!impl_->failure.empty() || impl_->now < impl_->next_tick) return;
   impl_->next_tick = impl_->now + impl_->tick_ms * kUsPerMs;
   impl_->tick(&impl_->io);
-  impl_->look();
+  impl_->update_leadership();
 }
 
 TimeUs Keeper::next_tick() const { return impl_->next_tick; }
 
 void Keeper::receive(const fleet::LogMessage& message) {
-  const auto known = impl_->addresses.find(message.from);
-  if (!impl_->failure.empty() || known == impl_->addresses.end() || message.to != impl_->options.id) return;
-  raft_message raw;
-  if (!from_message(message, known->second.c_str(), raw)) return;
-  impl_->receive(&impl_->io, &raw);
-  impl_->look_for_old_disk(message);
-  impl_->look();
+  const auto sender = impl_->addresses.find(message.from);
+  if (!impl_->failure.empty() || sender == impl_->addresses.end() || message.to != impl_->options.id) return;
+  raft_message raft_form;
+  if (!to_raft_message(message, sender->second.c_str(), raft_form)) return;
+  impl_->receive(&impl_->io, &raft_form);
+  impl_->check_for_stale_follower(message);
+  impl_->update_leadership();
 }
 
 void Keeper::settle() { impl_->settle(); }
@@ -430,7 +437,7 @@
 
 const std::string& Keeper::failure() const { return impl_->failure; }
 
-bool Keeper::leads() const { return impl_->knows_all && impl_->failure.empty(); }
+bool Keeper::leads() const { return impl_->ready_to_lead && impl_->failure.empty(); }
 
 std::uint64_t Keeper::term() const { return impl_->core.current_term; }
 
@@ -443,21 +450,22 @@
 
 bool Keeper::propose(const fleet::Entry& entry) {
   if (!leads()) return false;
-  auto request = std::make_unique<Impl::Request>();
+  auto request = std::make_unique<Impl::Proposal>();
   request->impl = impl_.get();
   request->raft.data = request.get();
-  const raft_buffer buffer = raft_copy(thrift::write_entry(entry));
+  const raft_buffer buffer = copy_to_raft_buffer(thrift::write_entry(entry));
   if (raft_apply(&impl_->core, &request->raft, &buffer, 1, Impl::entry_done) != 0) {
     raft_free(buffer.base);
     return false;
   }
-  static_cast<void>(request.release());  // given back in entry_done
+  static_cast<void>(request.release());  // freed in entry_done
   return true;
 }
 
 fleet::LogStanding Keeper::standing() const {
-  fleet::LogStanding out{term(), impl_->agreed, impl_->agreed};
-  if (!impl_->terms.empty()) out.last = {impl_->terms.rbegin()->second, impl_->terms.rbegin()->first};
+  fleet::LogStanding out{term(), impl_->committed, impl_->committed};
+  if (!impl_->uncommitted_terms.empty())
+    out.last = {impl_->uncommitted_terms.rbegin()->second, impl_->uncommitted_terms.rbegin()->first};
   return out;
 }
 
--- a/src/keeper/keeper.h
+++ b/src/keeper/keeper.h
@@ -1,8 +1,8 @@
 // A replicated log on Debian's libraft, whose core does no I/O of its own: time, random numbers, messages and
-// storage are given to it here, so that the same code runs behind sockets and a disk, and on a network, disk
-// and clock moved by hand. The library is seen by this package only.
+// storage are provided here, so that the same code runs with sockets and a disk, and in tests on a simulated
+// network, disk and clock. Only this package uses the library.
 //
-// Not to be used from two threads. It may block in `settle`, while the store commits.
+// Not thread-safe. `settle` may block while the store commits.
 #pragma once
 
 #include <memory>
@@ -17,20 +17,21 @@
 
 struct Options {
   fleet::KeeperId id = 0;
-  std::vector<fleet::KeeperId> voters;  // 1, 3 or 5 of them, this one too; fixed once the log has begun
+  std::vector<fleet::KeeperId> voters;  // 1, 3 or 5 of them, `id` included; fixed once the log was started
   unsigned heartbeat_ms = 100;
-  unsigned election_ms = 1'000;  // a follower that hears nothing for once to twice this long stands itself
-  std::uint64_t seed = 0;        // of those times
-  unsigned compact_after = 256;  // entries behind the last snapshot: then another is taken
-  unsigned kept_behind = 64;     // entries kept before it, for followers that are a little behind
+  unsigned election_ms = 1'000;  // a follower that hears nothing for 1 to 2 times this becomes a candidate
+  std::uint64_t seed = 0;        // of the election timeouts
+  unsigned compact_after = 256;  // entries since the last snapshot after which another one is taken
+  unsigned kept_behind = 64;     // entries before a snapshot that are kept, for followers slightly behind
 };
 
-// The form in which a snapshot says who votes.
+// The configuration text of a snapshot (StoredSnapshot::configuration) for these voters.
 std::string configuration_of(const std::vector<fleet::KeeperId>& voters);
 
-// Who votes by that log: its newest change of keepers, else its snapshot. Empty: it does not tell.
+// The voters by that log: of its newest configuration entry, else of its snapshot. Empty: it has neither.
 std::vector<fleet::KeeperId> voters_of(const store::Stored& stored);
 
+// libraft returned an error while the keeper was set up.
 class KeeperError : public std::runtime_error {
  public:
   using std::runtime_error::runtime_error;
@@ -38,20 +39,23 @@
 
 class Keeper final : public fleet::AgreedLog {
  public:
-  // Takes up what the store has; begins the log where it has nothing. Throws KeeperError or StoreError.
+  // Continues the log in `store`, or starts a new one if the store is empty. `store` and `replica` are not
+  // owned and must outlive this object. Throws KeeperError or StoreError.
   Keeper(const Options& options, store::LogStore& store, fleet::Replica& replica, TimeUs now);
   ~Keeper() override;
   Keeper(const Keeper&) = delete;
   Keeper& operator=(const Keeper&) = delete;
 
-  void advance(TimeUs now);  // time passes: heartbeats, elections
+  void advance(TimeUs now);  // drives heartbeats and elections; to be called at `next_tick`
   TimeUs next_tick() const;
+  // Ignores messages that are not from one of the voters, or not to this keeper.
   void receive(const fleet::LogMessage& message);
-  // Makes durable what was asked, then goes on with what waited for that. Nothing leaves before.
+  // Commits the pending writes of the store, then runs the callbacks that waited for that, until there are
+  // none. To be called before `take_outbox`: no message may be sent before what it tells of is durable.
   void settle();
-  std::vector<fleet::LogMessage> take_outbox();
-  // The store failed, or the library gave up: nothing more comes of this one. Another may be made on the
-  // store.
+  std::vector<fleet::LogMessage> take_outbox();  // removes the messages to be sent
+  // Empty, or why this keeper has stopped for good: the store failed, or libraft gave up. A new Keeper may be
+  // made on the same store.
   const std::string& failure() const;
 
   bool leads() const override;
@@ -59,7 +63,7 @@
   fleet::KeeperId leader() const override;
   bool propose(const fleet::Entry& entry) override;
   std::uint64_t finished() const override;
-  fleet::LogStanding standing() const;
+  fleet::LogStanding standing() const;  // how far this keeper's log has come
 
  private:
   struct Impl;
