--- a/src/keeper/keeper.cpp
+++ b/src/keeper/keeper.cpp
@@ -399,7 +399,7 @@
   impl_->set_callbacks();
   const std::string address = address_of(options.id);
   if (raft_init(&impl_->core, &impl_->io, &impl_->fsm, options.id, address.c_str()) != 0)
-    throw KeeperError("libraft can't be initialized");
+    throw KeeperError("the log can't be set up");
   impl_->core.data = impl_.get();
   try {
     impl_->start_core();
