--- a/tests/keeper/codec_test.cpp
+++ b/tests/keeper/codec_test.cpp
@@ -1,4 +1,5 @@
-// The messages between controllers: there and back; bytes of any kind are no message, not a crash.
+// The codec of the messages between controllers: encoding and decoding gives the same message, and invalid
+// bytes are rejected without a crash.
 #include <gtest/gtest.h>
 
 #include <random>
@@ -36,9 +37,9 @@
 
 TEST(FleetCodec, EveryMessageComesBackAsItWas) {
   for (const Message& message : samples()) {
-    const auto back = read_fleet(body(write_fleet(message)));
-    ASSERT_TRUE(back);
-    EXPECT_EQ(*back, message);
+    const auto decoded = read_fleet(body(write_fleet(message)));
+    ASSERT_TRUE(decoded);
+    EXPECT_EQ(*decoded, message);
   }
 }
 
@@ -60,33 +61,33 @@
 TEST(FleetCodec, CutAndSpoiltBytesAreNoMessage) {
   std::mt19937_64 random(5);
   for (const Message& message : samples()) {
-    const std::string whole(body(write_fleet(message)));
-    for (std::size_t n = 0; n < std::min<std::size_t>(whole.size(), 400); ++n)
-      EXPECT_FALSE(read_fleet(std::string_view(whole).substr(0, n))) << n;
-    EXPECT_FALSE(read_fleet(whole + "x"));
-    for (int n = 0; n < 2'000; ++n) {  // whatever comes of it, it ends
-      std::string spoilt = whole.substr(0, 400);
-      for (int i = 0; i < 3; ++i) spoilt[random() % spoilt.size()] = static_cast<char>(random());
-      read_fleet(spoilt);
-      read_state(spoilt);
+    const std::string encoded(body(write_fleet(message)));
+    for (std::size_t n = 0; n < std::min<std::size_t>(encoded.size(), 400); ++n)
+      EXPECT_FALSE(read_fleet(std::string_view(encoded).substr(0, n))) << n;
+    EXPECT_FALSE(read_fleet(encoded + "x"));
+    for (int n = 0; n < 2'000; ++n) {  // may decode or not, but must return
+      std::string corrupted = encoded.substr(0, 400);
+      for (int i = 0; i < 3; ++i) corrupted[random() % corrupted.size()] = static_cast<char>(random());
+      read_fleet(corrupted);
+      read_state(corrupted);
     }
   }
 }
 
-// Guards against a count of elements that reserves memory without bytes behind it.
+// Guards against a count of elements that makes the decoder reserve memory for which there are no bytes.
 TEST(FleetCodec, ACountBeyondTheBytesIsNoMessage) {
-  std::string whole(body(write_fleet(samples()[1])));
-  const auto list = whole.rfind(std::string("\x0f\x00\x06\x0a", 4));
-  ASSERT_NE(list, std::string::npos);
-  whole[list + 4] = 0x7f;
-  EXPECT_FALSE(read_fleet(whole));
+  std::string encoded(body(write_fleet(samples()[1])));
+  const auto list_header = encoded.rfind(std::string("\x0f\x00\x06\x0a", 4));
+  ASSERT_NE(list_header, std::string::npos);
+  encoded[list_header + 4] = 0x7f;
+  EXPECT_FALSE(read_fleet(encoded));
 }
 
-// A field of a later version is passed over.
+// Fields of a later version are skipped.
 TEST(FleetCodec, UnknownFieldsAreSkipped) {
-  std::string whole(body(write_fleet(Elsewhere{7, 2})));
-  whole.insert(whole.size() - 1, std::string("\x0b\x00\x63\x00\x00\x00\x02hi", 9));
-  EXPECT_EQ(read_fleet(whole), Message(Elsewhere{7, 2}));
+  std::string encoded(body(write_fleet(Elsewhere{7, 2})));
+  encoded.insert(encoded.size() - 1, std::string("\x0b\x00\x63\x00\x00\x00\x02hi", 9));
+  EXPECT_EQ(read_fleet(encoded), Message(Elsewhere{7, 2}));
 }
 
 }  // namespace
--- a/tests/keeper/fleet_simulation.h
+++ b/tests/keeper/fleet_simulation.h
@@ -1,5 +1,5 @@
-// Keepers and members as the program has them (libraft, ledger, arbiter, holder, roles), on a network, disks
-// and a clock moved by hand. One seed, one run: the same each time.
+// A simulated fleet: the program's own keepers and members (libraft, ledger, arbiter, holder, roles) on a
+// simulated network, disks and clock. A run is determined by its seed.
 #pragma once
 
 #include <algorithm>
@@ -37,13 +37,16 @@
   }
 
   // --- Faults ---
-  // A direction that is cut takes nothing; places are 0 to keepers - 1, then the members.
-  void cut(std::size_t from, std::size_t to, bool on) { cut_[{from, to}] = on; }
+  // Controllers are numbered: keepers first, from 0, then members. `cut` drops all messages in one direction,
+  // or delivers them again if not `on`.
+  void cut(std::size_t from, std::size_t to, bool on) { cut_links_[{from, to}] = on; }
+  // Ends all faults of the network and slow disks.
   void heal() {
-    cut_.clear(), slow_.clear();
+    cut_links_.clear(), delays_.clear();
     for (Keeper& k : keepers_) k.commit_takes = 0;
   }
-  void slow(std::size_t place, TimeUs by) { slow_[place] = by; }
+  // Delays all messages from and to a controller.
+  void slow(std::size_t controller, TimeUs by) { delays_[controller] = by; }
   void kill_keeper(std::size_t k) {
     keepers_[k].keeper.reset(), keepers_[k].role.reset(), keepers_[k].store.reset();
   }
@@ -63,14 +66,14 @@
     at.keeper = std::make_unique<keeper::Keeper>(options, *at.store, *at.role, now_);
     at.floor.emplace(options.id, options.voters, now_, 2 * static_cast<TimeUs>(options.election_ms) * 1'000);
   }
-  // A copy of a keeper's disk, and that copy in its place; it does not run then.
+  // A copy of a keeper's disk, and replacing the disk by such a copy; the keeper must not run then.
   store::Disk copy_of_disk(std::size_t k) const { return keepers_[k].disk; }
   void put_back_disk(std::size_t k, store::Disk copy) { keepers_[k].disk = std::move(copy); }
-  // Of all: what was committed is there, what was under way is not.
+  // Stops all keepers and members at once: committed data survives, messages in flight are lost.
   void power_off() {
     for (std::size_t k = 0; k < keepers_.size(); ++k) kill_keeper(k);
     for (std::size_t m = 0; m < members_.size(); ++m) kill_member(m);
-    flights_.clear();
+    in_flight_.clear();
   }
   const budget::Ledger& ledger(std::size_t k) const { return keepers_[k].role->state().ledger; }
   void kill_member(std::size_t m) { members_[m].role.reset(), members_[m].keys.reset(); }
@@ -80,15 +83,16 @@
     members_[m].role.emplace(budget::MemberKey{"c" + std::to_string(m), static_cast<std::uint64_t>(now_)},
                              shape_.terms, ids, random_());
     members_[m].keys.emplace(members_[m].role->holder().self());
-    members_[m].asleep_until = 0;
+    members_[m].paused_until = 0;
   }
-  void pause_member(std::size_t m, TimeUs time) { members_[m].asleep_until = now_ + time; }
-  void pause_keeper(std::size_t k, TimeUs time) { keepers_[k].asleep_until = now_ + time; }
+  void pause_member(std::size_t m, TimeUs time) { members_[m].paused_until = now_ + time; }
+  void pause_keeper(std::size_t k, TimeUs time) { keepers_[k].paused_until = now_ + time; }
   void leave(std::size_t m) {
     if (members_[m].role) members_[m].role->leave(now_);
   }
   void fail_disk(std::size_t k, int commits) { keepers_[k].disk.fail_commits = commits; }
-  // Each of its commits; it does nothing else meanwhile, and what waits for the commit leaves after it.
+  // Each commit of the keeper takes so long; it does nothing else meanwhile, and its messages leave
+  // afterwards.
   void slow_disk(std::size_t k, TimeUs commit_takes) { keepers_[k].commit_takes = commit_takes; }
   void demand(std::size_t m, budget::Parts parts) { members_[m].demand = parts; }
 
@@ -96,11 +100,12 @@
   void run(TimeUs time, TimeUs step = 5'000) {
     for (const TimeUs until = now_ + time; now_ < until && overdrawn_.empty();) {
       now_ += step;
-      turn();
+      step_all();
     }
   }
 
   TimeUs now() const { return now_; }
+  // The first invariant that was violated, as a text; empty: none. A run stops there.
   const std::string& overdrawn() const { return overdrawn_; }
   bool member_lives(std::size_t m) const { return members_[m].role.has_value(); }
   const budget::Holder& holder(std::size_t m) const { return members_[m].role->holder(); }
@@ -109,8 +114,9 @@
   std::uint64_t messages() const { return messages_; }
   std::uint64_t bytes() const { return bytes_; }
   std::uint64_t keys_sent() const { return keys_sent_; }
-  std::uint64_t keys_rested() const { return keys_rested_; }
-  std::uint64_t leaders() const { return leaders_; }  // times that a keeper began to lead
+  std::uint64_t keys_refused() const { return keys_refused_; }
+  std::uint64_t leaders() const { return leaders_; }  // number of times that a keeper became the leader
+  // Number of the keeper that is the leader; -1: there is none.
   int leads() const {
     int n = -1;
     for (std::size_t k = 0; k < keepers_.size(); ++k)
@@ -118,7 +124,7 @@
     return n;
   }
 
-  // Every part but the reserve is leased to a member that lives.
+  // True: all parts but the reserve are leased to running members.
   bool all_in_use() const {
     for (std::size_t a = 0; a < shape_.terms.allowances.size(); ++a) {
       budget::Parts sum = 0;
@@ -136,91 +142,94 @@
     std::unique_ptr<KeeperRole> role;
     std::unique_ptr<keeper::Keeper> keeper;
     std::optional<recovery::VoteFloor> floor;
-    TimeUs asleep_until = 0;
+    TimeUs paused_until = 0;
     bool led = false;
     TimeUs commit_takes = 0;
   };
   struct Member {
     std::optional<MemberRole> role;
     std::optional<promises::KeyHolder> keys;
-    std::map<std::uint64_t, std::string> wants;  // by query, which is its ticket too
-    TimeUs asleep_until = 0;
+    std::map<std::uint64_t, std::string> wants;  // keys by query; the query is the ticket too
+    TimeUs paused_until = 0;
     budget::Parts demand = 0;
   };
-  struct Flight {
+  struct InFlight {  // a message in flight
     std::size_t from = 0;
     std::size_t to = 0;
     std::string bytes;
   };
 
-  void post(std::size_t from, std::size_t to, const Message& message, TimeUs held = 0) {
+  void send(std::size_t from, std::size_t to, const Message& message, TimeUs commit_time = 0) {
     const std::string bytes = thrift::write_fleet(message);
     ++messages_;
     bytes_ += bytes.size();
-    if (cut_[{from, to}] || random_() % 64 == 0) return;  // one in so many is lost whatever happens
-    TimeUs delay = held + 500 + static_cast<TimeUs>(random_() % 8'000) + slow_[from] + slow_[to];
-    if (random_() % 50 == 0) delay += static_cast<TimeUs>(random_() % 400'000);  // out of turn
-    flights_.emplace(now_ + delay, Flight{from, to, bytes});
-    if (random_() % 64 == 0) flights_.emplace(now_ + 2 * delay, Flight{from, to, bytes});
+    if (cut_links_[{from, to}] || random_() % 64 == 0) return;  // some messages are always lost
+    TimeUs delay = commit_time + 500 + static_cast<TimeUs>(random_() % 8'000) + delays_[from] + delays_[to];
+    if (random_() % 50 == 0) delay += static_cast<TimeUs>(random_() % 400'000);  // some are reordered
+    in_flight_.emplace(now_ + delay, InFlight{from, to, bytes});
+    // Some are delivered twice.
+    if (random_() % 64 == 0) in_flight_.emplace(now_ + 2 * delay, InFlight{from, to, bytes});
   }
 
-  void arrive(const Flight& flight) {
-    const auto message = thrift::read_fleet(std::string_view(flight.bytes).substr(4));
-    if (!message) {  // ours can't be read: as bad as a sum that is passed
-      overdrawn_ = "a message of " + std::to_string(flight.bytes.size()) + " bytes that can't be read";
+  void deliver(const InFlight& in_flight) {
+    const auto message = thrift::read_fleet(std::string_view(in_flight.bytes).substr(4));
+    if (!message) {  // a message of the program itself must be readable
+      overdrawn_ = "a message of " + std::to_string(in_flight.bytes.size()) + " bytes that can't be read";
       return;
     }
-    if (flight.to < keepers_.size()) {
-      Keeper& k = keepers_[flight.to];
+    if (in_flight.to < keepers_.size()) {
+      Keeper& k = keepers_[in_flight.to];
       if (!k.keeper) return;
       const auto* log = std::get_if<LogMessage>(&*message);
       if (log != nullptr && k.floor->lets(*log, now_)) k.keeper->receive(*log);
-      if (const auto* ask = std::get_if<budget::Ask>(&*message)) k.role->asked(*k.keeper, flight.from, *ask);
+      if (const auto* ask = std::get_if<budget::Ask>(&*message))
+        k.role->asked(*k.keeper, in_flight.from, *ask);
       if (const auto* ask = std::get_if<promises::KeyAsk>(&*message))
-        k.role->asked(*k.keeper, flight.from, *ask);
+        k.role->asked(*k.keeper, in_flight.from, *ask);
       return;
     }
-    Member& m = members_[flight.to - keepers_.size()];
+    Member& m = members_[in_flight.to - keepers_.size()];
     if (!m.role) return;
     if (const auto* grant = std::get_if<GrantTold>(&*message)) m.role->told(now_, *grant);
-    if (const auto* elsewhere = std::get_if<Elsewhere>(&*message)) m.role->told(now_, *elsewhere);
+    if (const auto* redirect = std::get_if<Elsewhere>(&*message)) m.role->told(now_, *redirect);
     if (const auto* told = std::get_if<promises::KeyTold>(&*message))
-      key_verdicts(flight.to - keepers_.size(), m.keys->answered(now_, *told));
+      handle_key_results(in_flight.to - keepers_.size(), m.keys->answered(now_, *told));
   }
 
-  bool asleep(std::size_t place) const {
-    return (place < keepers_.size() ? keepers_[place].asleep_until
-                                    : members_[place - keepers_.size()].asleep_until) > now_;
+  bool is_paused(std::size_t controller) const {
+    return (controller < keepers_.size() ? keepers_[controller].paused_until
+                                         : members_[controller - keepers_.size()].paused_until) > now_;
   }
 
-  void turn() {
-    for (auto it = flights_.begin(); it != flights_.end() && it->first <= now_;) {
-      if (asleep(it->second.to)) {  // it lies there until the other wakes
+  void step_all() {
+    for (auto it = in_flight_.begin(); it != in_flight_.end() && it->first <= now_;) {
+      if (is_paused(it->second.to)) {  // delivered once the receiver runs again
         ++it;
         continue;
       }
-      const Flight flight = it->second;
-      it = flights_.erase(it);
-      arrive(flight);
+      const InFlight in_flight = it->second;
+      it = in_flight_.erase(it);
+      deliver(in_flight);
     }
-    for (std::size_t k = 0; k < keepers_.size(); ++k) keeper_turn(k);
-    for (std::size_t m = 0; m < members_.size(); ++m) member_turn(m);
-    check();
+    for (std::size_t k = 0; k < keepers_.size(); ++k) step_keeper(k);
+    for (std::size_t m = 0; m < members_.size(); ++m) step_member(m);
+    check_sums();
   }
 
-  // Over a connection that came up, which loses nothing.
-  void greet(std::size_t k) {
+  // Exchanges greetings of keepers, which arrive reliably as they are sent on a new connection.
+  void exchange_greetings(std::size_t k) {
     for (const KeeperId id : keepers_[k].floor->waits_for(now_)) {
       const std::size_t other = id - 1;
-      const bool heard = keepers_[other].keeper && !asleep(other) && !cut_[{k, other}] && !cut_[{other, k}];
-      if (heard && random_() % 8 == 0) keepers_[k].floor->told(id, keepers_[other].keeper->standing());
+      const bool reachable =
+          keepers_[other].keeper && !is_paused(other) && !cut_links_[{k, other}] && !cut_links_[{other, k}];
+      if (reachable && random_() % 8 == 0) keepers_[k].floor->told(id, keepers_[other].keeper->standing());
     }
   }
 
-  void keeper_turn(std::size_t k) {
+  void step_keeper(std::size_t k) {
     Keeper& at = keepers_[k];
-    if (!at.keeper || asleep(k)) return;
-    greet(k);
+    if (!at.keeper || is_paused(k)) return;
+    exchange_greetings(k);
     const int commits = at.disk.commits;
     at.keeper->advance(now_);
     at.keeper->settle();
@@ -229,30 +238,31 @@
     at.role->run(now_, *at.keeper);
     if (at.keeper->leads() && !at.led) ++leaders_;
     at.led = at.keeper->leads();
-    const TimeUs held = (at.disk.commits - commits) * at.commit_takes;
-    if (held > 0) at.asleep_until = now_ + held;
+    const TimeUs commit_time = (at.disk.commits - commits) * at.commit_takes;
+    if (commit_time > 0) at.paused_until = now_ + commit_time;
     for (const LogMessage& message : at.keeper->take_outbox())
-      if (at.floor->lets(message, now_)) post(k, message.to - 1, message, held);
-    for (const auto& reply : at.role->take_replies()) post(k, reply.link, message_of(reply.answer), held);
-    if (!at.keeper->failure().empty()) {  // as the program does: it begins anew on the same store
+      if (at.floor->lets(message, now_)) send(k, message.to - 1, message, commit_time);
+    for (const auto& reply : at.role->take_replies())
+      send(k, reply.link, message_of(reply.answer), commit_time);
+    if (!at.keeper->failure().empty()) {  // restarted on the same store, as the program does
       kill_keeper(k);
       start_keeper(k);
     }
   }
 
-  void member_turn(std::size_t m) {
+  void step_member(std::size_t m) {
     Member& at = members_[m];
-    const std::size_t place = keepers_.size() + m;
-    if (at.role && !asleep(place) && shape_.terms.longest_rest > 0) key_turn(m);
-    if (!at.role || asleep(place) || !at.role->due(now_) || at.role->holder().left()) return;
+    const std::size_t controller = keepers_.size() + m;
+    if (at.role && !is_paused(controller) && shape_.terms.longest_rest > 0) step_keys(m);
+    if (!at.role || is_paused(controller) || !at.role->due(now_) || at.role->holder().left()) return;
     const std::size_t n = at.role->holder().terms().allowances.size();
     const budget::Ask ask = at.role->ask(now_, std::vector<budget::Parts>(n, at.demand), {});
-    post(place, at.role->asks() - 1, ask);
+    send(controller, at.role->asks() - 1, ask);
   }
 
-  // Each wants a key of a few now and then; what it is given it sends at once, and that may run then. Some is
-  // known not to have run after all: then the key is freed.
-  void key_turn(std::size_t m) {
+  // Each member requests one of a few keys now and then. A query whose key is granted is sent at once and may
+  // run then; some queries are known not to have run after all, and their keys are released.
+  void step_keys(std::size_t m) {
     Member& at = members_[m];
     at.keys->set_term(shape_.terms.term);
     if (random_() % 40 == 0 && at.role->holder().leased(now_) && !at.keys->stuck(now_)) {
@@ -260,15 +270,15 @@
       at.wants[query] = "key " + std::to_string(random_() % (10 * members_.size()));
       at.keys->want(now_, query, {query, at.wants[query], shape_.terms.longest_rest});
     }
-    key_verdicts(m, at.keys->given_up(now_));
-    while (const auto ask = at.keys->next(now_)) post(keepers_.size() + m, at.role->asks() - 1, *ask);
+    handle_key_results(m, at.keys->given_up(now_));
+    while (const auto ask = at.keys->next(now_)) send(keepers_.size() + m, at.role->asks() - 1, *ask);
   }
 
-  void key_verdicts(std::size_t m, const std::vector<promises::KeyHolder::Verdict>& verdicts) {
+  void handle_key_results(std::size_t m, const std::vector<promises::KeyHolder::Verdict>& verdicts) {
     Member& at = members_[m];
     for (const auto& verdict : verdicts) {
       const auto node = at.wants.extract(verdict.ticket);
-      if (verdict.told == promises::Told::kRests) ++keys_rested_;
+      if (verdict.told == promises::Told::kRests) ++keys_refused_;
       if (verdict.told != promises::Told::kGiven) continue;
       const std::string& key = node.mapped();
       if (random_() % 4 == 0) {  // it could not be sent
@@ -283,8 +293,9 @@
     }
   }
 
-  // Who sleeps may wake at any moment with what its lease says then.
-  void check() {
+  // The usable parts must never sum to more than the whole. Paused members count too: they may resume at any
+  // moment and use their leases.
+  void check_sums() {
     for (std::size_t a = 0; a < shape_.terms.allowances.size(); ++a) {
       const budget::Allowance& terms = shape_.terms.allowances[a];
       budget::Parts sum = (shape_.terms.largest - static_cast<int>(members_.size())) * terms.cut_off;
@@ -299,17 +310,17 @@
   TimeUs now_ = 1'000'000'000;
   std::vector<Keeper> keepers_;
   std::vector<Member> members_;
-  std::multimap<TimeUs, Flight> flights_;
-  std::map<std::pair<std::size_t, std::size_t>, bool> cut_;
-  std::map<std::size_t, TimeUs> slow_;
+  std::multimap<TimeUs, InFlight> in_flight_;
+  std::map<std::pair<std::size_t, std::size_t>, bool> cut_links_;
+  std::map<std::size_t, TimeUs> delays_;
   std::string overdrawn_;
   std::uint64_t messages_ = 0;
   std::uint64_t bytes_ = 0;
   std::uint64_t leaders_ = 0;
-  std::map<std::string, TimeUs> sent_at_;  // by key
+  std::map<std::string, TimeUs> sent_at_;  // by key: when a query with it was last sent
   std::uint64_t last_query_ = 0;
   std::uint64_t keys_sent_ = 0;
-  std::uint64_t keys_rested_ = 0;
+  std::uint64_t keys_refused_ = 0;
 };
 
 inline FleetSimulation::Shape fleet_shape(int keepers, int members) {
@@ -323,7 +334,7 @@
   out.terms.longest_rest = 4'000'000;
   const budget::Parts each = 100'000 / out.terms.largest;
   out.terms.allowances = {{"cpu/a", 1'000'000, 2 * each, 50'000, each},
-                          // What is set aside has to fit, as the program's own file is held to.
+                          // The parts set aside have to fit, as the program requires of its own file.
                           {"concurrency/r", std::max(400, 2 * out.terms.largest), 1, 10, 1}};
   return out;
 }
--- a/tests/keeper/simulation_test.cpp
+++ b/tests/keeper/simulation_test.cpp
@@ -1,12 +1,12 @@
-// The fleet's own code over libraft, on a network, disks and a clock moved by hand: schedules of faults by
-// seed, the sum looked at every 5 ms.
+// Simulation of the fleet's code over libraft on a simulated network, disks and clock: random schedules of
+// faults, each from a seed. The sum of all usable parts is checked every 5 ms.
 #include <gtest/gtest.h>
 
 #include "fleet_simulation.h"
 
-// libraft 0.15.0 itself leaks 16 bytes where it is closed while it installs a snapshot (9 in 1,000
-// schedules): the array of one buffer, allocated and forgotten within the library. Nothing of ours has it in
-// its stack.
+// libraft 0.15.0 itself leaks 16 bytes when it is closed while it installs a snapshot (9 in 1,000 schedules):
+// the array of one buffer, which the library allocates and never frees. No code of this project is in that
+// stack.
 extern "C" const char* __lsan_default_suppressions();
 extern "C" const char* __lsan_default_suppressions() { return "leak:libraft.so"; }
 
@@ -15,11 +15,11 @@
 
 constexpr TimeUs kSecond = 1'000'000;
 
-// One fault of a schedule, then a stretch of time.
-void trouble(FleetSimulation& fleet, std::mt19937_64& random) {
+// Injects one fault, then lets some time pass.
+void inject_fault(FleetSimulation& fleet, std::mt19937_64& random) {
   const std::size_t k = random() % fleet.keepers();
   const std::size_t m = random() % fleet.members();
-  const std::size_t places = fleet.keepers() + fleet.members();
+  const std::size_t controllers = fleet.keepers() + fleet.members();
   switch (random() % 12) {
     case 0:
       fleet.kill_keeper(k);
@@ -37,15 +37,15 @@
     case 4:
       fleet.pause_keeper(k, static_cast<TimeUs>(random() % 6) * kSecond);
       break;
-    case 5:  // one way only
-      fleet.cut(random() % places, random() % places, true);
+    case 5:  // in one direction only
+      fleet.cut(random() % controllers, random() % controllers, true);
       break;
-    case 6:  // a keeper from all others, both ways
-      for (std::size_t other = 0; other < places; ++other)
+    case 6:  // a keeper from all others, in both directions
+      for (std::size_t other = 0; other < controllers; ++other)
         fleet.cut(k, other, true), fleet.cut(other, k, true);
       break;
     case 7:
-      fleet.slow(random() % places, static_cast<TimeUs>(random() % 400'000));
+      fleet.slow(random() % controllers, static_cast<TimeUs>(random() % 400'000));
       break;
     case 8:
       fleet.fail_disk(k, 1 + static_cast<int>(random() % 3));
@@ -68,11 +68,11 @@
 
 class Schedules : public ::testing::TestWithParam<int> {};
 
-// Ten times a hundred seeds, 5 to 50 members on 1 to 5 keepers.
+// Ten times a hundred seeds, with 5 to 50 members and 1 to 5 keepers.
 TEST_P(Schedules, TheSumHoldsAndComesBackToTheWhole) {
   constexpr int kSeeds = 100;
-  int led = 0;
-  std::uint64_t keys_sent = 0, keys_rested = 0;
+  int runs_with_elections = 0;
+  std::uint64_t keys_sent = 0, keys_refused = 0;
   for (int n = 0; n < kSeeds; ++n) {
     const auto seed = static_cast<std::uint64_t>(GetParam() * kSeeds + n + 1);
     std::mt19937_64 random(seed);
@@ -80,28 +80,29 @@
     const int members = n % 25 == 0 ? 50 : 5 + static_cast<int>(seed % 6);
     FleetSimulation fleet(fleet_shape(keepers, members), seed);
     fleet.run(3 * kSecond);
-    for (int faults = 0; faults < 8; ++faults) trouble(fleet, random);
+    for (int faults = 0; faults < 8; ++faults) inject_fault(fleet, random);
     ASSERT_EQ(fleet.overdrawn(), "") << "seed " << seed;
     fleet.heal();
     for (std::size_t i = 0; i < fleet.keepers(); ++i) fleet.start_keeper(i), fleet.fail_disk(i, 0);
     for (std::size_t i = 0; i < fleet.members(); ++i)
       if (!fleet.member_lives(i) || fleet.holder(i).left()) fleet.start_member(i);
-    // Who sleeps wakes within 6 s, old leases end within a term; then all is divided.
+    // Pauses end within 6 s and old leases within a term; then everything is leased out again.
     const TimeUs until = fleet.now() + 20 * kSecond;
     while (fleet.now() < until && fleet.overdrawn().empty() && !fleet.all_in_use()) fleet.run(100'000);
     ASSERT_EQ(fleet.overdrawn(), "") << "seed " << seed;
     EXPECT_TRUE(fleet.all_in_use()) << "seed " << seed;
-    led += fleet.leaders() > 1 ? 1 : 0;
-    keys_sent += fleet.keys_sent(), keys_rested += fleet.keys_rested();
+    runs_with_elections += fleet.leaders() > 1 ? 1 : 0;
+    keys_sent += fleet.keys_sent(), keys_refused += fleet.keys_refused();
   }
-  EXPECT_GT(led, kSeeds / 4);  // the schedules do change leaders
+  EXPECT_GT(runs_with_elections, kSeeds / 4);  // the schedules do change leaders
   EXPECT_GT(keys_sent, 8U * kSeeds);
-  EXPECT_GT(keys_rested, 2U * kSeeds);
+  EXPECT_GT(keys_refused, 2U * kSeeds);
 }
 
 INSTANTIATE_TEST_SUITE_P(Seeds, Schedules, ::testing::Range(0, 10));
 
-// The leader dies between putting a grant on its log and answering: the parts count, whoever leads next.
+// The leader dies between appending a grant to its log and replying: the parts count as leased under the next
+// leader too.
 TEST(Simulation, ALeaderThatDiesBeforeItAnswersLeavesNothingUncounted) {
   FleetSimulation fleet(fleet_shape(3, 5), 7);
   fleet.run(10 * kSecond);
@@ -110,7 +111,7 @@
     const int leader = fleet.leads();
     ASSERT_GE(leader, 0);
     for (std::size_t m = 0; m < fleet.members(); ++m)
-      fleet.cut(static_cast<std::size_t>(leader), fleet.keepers() + m, true);  // its answers are lost
+      fleet.cut(static_cast<std::size_t>(leader), fleet.keepers() + m, true);  // its replies are lost
     for (std::size_t m = 0; m < fleet.members(); ++m) fleet.demand(m, n % 2 == 0 ? 500'000 : 0);
     fleet.run(700'000);
     fleet.kill_keeper(static_cast<std::size_t>(leader));
@@ -123,7 +124,8 @@
   EXPECT_TRUE(fleet.all_in_use());
 }
 
-// A minute without a majority: leases end, cut-off parts are left; then all comes back.
+// Without a majority for a minute all leases end and only the cut-off parts are usable; afterwards everything
+// is leased out again.
 TEST(Simulation, WithoutAMajorityLeasesEndAndAfterItAllIsDividedAgain) {
   FleetSimulation fleet(fleet_shape(3, 8), 11);
   fleet.run(10 * kSecond);
@@ -141,7 +143,8 @@
   EXPECT_EQ(fleet.overdrawn(), "");
 }
 
-// A round takes longer than a member waits for an answer: it must not ask anew for ever, and have none.
+// A commit takes longer than a member waits for a reply. Guards against members that repeat their requests
+// for ever and never get a lease.
 TEST(Simulation, DisksSlowerThanMembersWaitDoNotEndLeases) {
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
     FleetSimulation fleet(fleet_shape(3, 8), seed);
@@ -159,7 +162,7 @@
   }
 }
 
-// Most of a large fleet starts anew within ten seconds.
+// Most members of a large fleet restart within ten seconds.
 TEST(Simulation, MostOf300MembersRestartWithinTenSeconds) {
   FleetSimulation fleet(fleet_shape(3, 300), 13);
   fleet.run(12 * kSecond);
--- a/tests/keeper/store_test.cpp
+++ b/tests/keeper/store_test.cpp
@@ -1,4 +1,4 @@
-// The keepers' store on a real disk: what was committed is found again, what was not is not there.
+// The keepers' store on a real disk: committed writes are found again, others are not.
 #include <gtest/gtest.h>
 
 #include <cstdlib>
@@ -95,7 +95,7 @@
   EXPECT_THROW(LmdbStore("/nowhere/at/all", kBytes), StoreError);
 }
 
-void keep_something(const std::string& folder) {
+void write_sample(const std::string& folder) {
   LmdbStore store(folder, 4 * 1024 * 1024);
   store.set_owner({"f", 7, 2, {1, 2}});
   store.set_term(3);
@@ -104,25 +104,27 @@
 }
 
 TEST_F(Store, KnowsWhoseItIs) {
-  keep_something(folder);
+  write_sample(folder);
   EXPECT_EQ(LmdbStore(folder, kBytes).load().owner, (StoredOwner{"f", 7, 2, {1, 2}}));
 }
 
-// Each place of a list is damaged in turn: one line naming the folder, or the folder comes before it; no
-// process ends by it.
+// The file is damaged in many places, one at a time: opening or loading reports it in one line, and does not
+// end the process.
 TEST_F(Store, DamageIsSaidInALine) {
-  keep_something(folder);
+  write_sample(folder);
   const std::string file = folder + "/data.mdb";
-  std::string good(std::filesystem::file_size(file), '\0');
-  std::ifstream(file, std::ios::binary).read(good.data(), static_cast<std::streamsize>(good.size()));
+  std::string intact_bytes(std::filesystem::file_size(file), '\0');
+  std::ifstream(file, std::ios::binary)
+      .read(intact_bytes.data(), static_cast<std::streamsize>(intact_bytes.size()));
   constexpr std::size_t kPage = 4096;
-  std::vector<std::string> damaged = {good.substr(0, 1), good.substr(0, kPage),
-                                      good.substr(0, 2 * kPage + 17), good.substr(0, 3 * kPage)};
-  damaged.push_back(good);
-  std::fill_n(damaged.back().begin(), 2 * kPage, '\xff');  // both roots
-  for (std::size_t at = good.find("a record of entry "); at != std::string::npos;
-       at = good.find("a record of entry ", at + 400)) {
-    damaged.push_back(good);
+  std::vector<std::string> damaged = {intact_bytes.substr(0, 1), intact_bytes.substr(0, kPage),
+                                      intact_bytes.substr(0, 2 * kPage + 17),
+                                      intact_bytes.substr(0, 3 * kPage)};
+  damaged.push_back(intact_bytes);
+  std::fill_n(damaged.back().begin(), 2 * kPage, '\xff');  // both meta pages
+  for (std::size_t at = intact_bytes.find("a record of entry "); at != std::string::npos;
+       at = intact_bytes.find("a record of entry ", at + 400)) {
+    damaged.push_back(intact_bytes);
     damaged.back()[at + 3] ^= 0x10;
   }
   ASSERT_GT(damaged.size(), 7U);
@@ -138,8 +140,8 @@
   }
 }
 
-// A transaction may take a page at the end and give it back, which is then never written: the file of a store
-// in order is shorter than its count of pages. Such a one was refused as cut.
+// A transaction may allocate a page at the end and free it again; it is never written then, and the file of
+// an intact store is shorter than its page count. Guards against refusing such a file as truncated.
 TEST_F(Store, AFileThatEndsBeforePagesThatWereNeverWrittenIsWhole) {
   std::uint64_t last = 0;
   for (std::uint64_t n = 1; n <= 120; ++n) {
@@ -156,27 +158,27 @@
   }
 }
 
-// Wherever the file was cut: a line, and an end with 1 where the library can't go on; else all is there, as
-// only pages are gone that nothing refers to.
+// The file is truncated at many sizes. Either one line reports it (LMDB may end the process with code 1), or
+// all data is there, because only pages are missing that nothing refers to.
 TEST_F(Store, AFileThatWasCutAnywhereIsSaidInALine) {
-  keep_something(folder);
+  write_sample(folder);
   const std::string file = folder + "/data.mdb";
   const std::uintmax_t size = std::filesystem::file_size(file);
-  const Stored whole = LmdbStore(folder, kBytes).load();
+  const Stored intact = LmdbStore(folder, kBytes).load();
   const auto load = [&] {
     try {
       LmdbStore store(folder, kBytes);
-      std::_Exit(store.load() == whole ? 0 : 2);
+      std::_Exit(store.load() == intact ? 0 : 2);
     } catch (const StoreError& e) {
       std::cerr << e.what() << std::endl;
       std::_Exit(1);
     }
   };
-  const auto said_or_whole = [](int status) { return WIFEXITED(status) && WEXITSTATUS(status) <= 1; };
+  const auto reported_or_intact = [](int status) { return WIFEXITED(status) && WEXITSTATUS(status) <= 1; };
   int cuts = 0;
   for (std::uintmax_t at = size - 2'048; at > 2'048; at -= 4'096, ++cuts) {
     std::filesystem::resize_file(file, at);
-    EXPECT_EXIT(load(), said_or_whole, "") << at;
+    EXPECT_EXIT(load(), reported_or_intact, "") << at;
   }
   EXPECT_GT(cuts, 4);
 }
