--- a/tests/fleet/parts_test.cpp
+++ b/tests/fleet/parts_test.cpp
@@ -1,5 +1,5 @@
-// What stands between leases and the rest of the program: allowances, shares, the module's and the limits'
-// side of them, the fleet's file.
+// The parts between leases and the rest of the program: allowances, shares, how the decision module and the
+// limits use them, the requests of a member, the fleet's configuration file.
 #include <gtest/gtest.h>
 
 #include "fleet/allowances.h"
@@ -26,7 +26,7 @@
   return s;
 }
 
-FleetConfig four() {
+FleetConfig config_for_four() {
   FleetConfig c;
   c.name = "f";
   c.number = c.revision = 1;
@@ -46,7 +46,7 @@
   return std::make_shared<const limits::LimitSet>(settings, file, 1);
 }
 
-budget::Holder leased(const budget::Terms& terms, std::vector<budget::Parts> parts) {
+budget::Holder holder_with(const budget::Terms& terms, std::vector<budget::Parts> parts) {
   budget::Holder holder({"c0", 1}, terms);
   const budget::Ask ask = holder.ask(0, {}, {});
   budget::Grant grant;
@@ -64,7 +64,7 @@
 
 TEST(Allowances, AreNamedAndCountedByWhatIsDivided) {
   const Settings s = two_tenants();
-  FleetConfig c = four();
+  FleetConfig c = config_for_four();
   c.further_attempts = 40;
   const auto limits = fleet_limits(s, 5, 40);
   const budget::Terms terms = terms_of(c, s, limits.get());
@@ -80,7 +80,8 @@
 TEST(Allowances, ALeasesPartsAreWorthTheirShareUntilItEnds) {
   const Settings s = two_tenants();
   const auto limits = fleet_limits(s, 5, 40);
-  const budget::Holder holder = leased(terms_of(four(), s, limits.get()), {200'000, 100'000, 0, 1'000, 10});
+  const budget::Holder holder =
+      holder_with(terms_of(config_for_four(), s, limits.get()), {200'000, 100'000, 0, 1'000, 10});
   const Shares shares = shares_of(holder, s, kSecond);
   EXPECT_DOUBLE_EQ(shares.module.budgets[0], 0.25);
   EXPECT_DOUBLE_EQ(shares.module.budgets[1], 0.15);
@@ -91,21 +92,23 @@
   EXPECT_EQ(shares.module.place, 2);
   EXPECT_DOUBLE_EQ(shares.limits.rates.at("r"), 1.25);
   EXPECT_EQ(shares.limits.places.at("r"), 12);
-  const Shares over = shares_of(holder, s, 3 * kSecond);
-  EXPECT_DOUBLE_EQ(over.module.budgets[0], 0.05);
-  EXPECT_EQ(over.module.live, 0);
-  EXPECT_EQ(over.limits.places.at("r"), 2);
+  const Shares expired = shares_of(holder, s, 3 * kSecond);
+  EXPECT_DOUBLE_EQ(expired.module.budgets[0], 0.05);
+  EXPECT_EQ(expired.module.live, 0);
+  EXPECT_EQ(expired.limits.places.at("r"), 2);
 }
 
-// What was spent of a window's slice is given back once that window is over, what runs once it has ended.
+// A used share of a CPU budget is given back once its window is over, the part of a running query once it
+// ends.
 TEST(Allowances, PartsThatAreSpentOrRunningAreNotGivenBackAtOnce) {
   const Settings s = two_tenants();
   const auto limits = fleet_limits(s, 5, 40);
-  const budget::Holder holder = leased(terms_of(four(), s, limits.get()), {200'000, 100'000, 0, 1'000, 10});
+  const budget::Holder holder =
+      holder_with(terms_of(config_for_four(), s, limits.get()), {200'000, 100'000, 0, 1'000, 10});
   Demand demand(s);
   EXPECT_EQ(demand.in_use(kSecond, holder, {{"r", {9, 3, 0}}}),
             (std::vector<budget::Parts>{200'000, 100'000, 0, 0, 7}));
-  EXPECT_EQ(demand.in_use(4 * kSecond, holder, {})[0], 200'000);  // the lease is over, its window is not
+  EXPECT_EQ(demand.in_use(4 * kSecond, holder, {})[0], 200'000);  // the lease has expired, the window has not
   EXPECT_EQ(demand.in_use(10 * kSecond, holder, {})[0], 0);
 }
 
@@ -113,15 +116,16 @@
   const Settings s = two_tenants();
   Demand demand(s);
   demand.engines(10);
-  const budget::Terms terms = terms_of(four(), s, nullptr);
-  for (int i = 0; i < 50; ++i) demand.taken(i * 100'000, "a", 100'000);  // a core's work of ten cores
+  const budget::Terms terms = terms_of(config_for_four(), s, nullptr);
+  for (int i = 0; i < 50; ++i) demand.taken(i * 100'000, "a", 100'000);  // keeps one of ten cores busy
   const auto parts = demand.parts(5 * kSecond - 1, terms, {});
-  EXPECT_NEAR(static_cast<double>(parts[0]), 200'000 - 50'000, 5'000);  // of a half of the whole
+  // A fifth of the tenant's whole, which is half of the cores.
+  EXPECT_NEAR(static_cast<double>(parts[0]), 200'000 - 50'000, 5'000);
   EXPECT_EQ(parts[1], 0);
   EXPECT_EQ(demand.parts(20 * kSecond, terms, {})[0], 0);
 }
 
-// --- The limits' side ---
+// --- How the limits use shares ---
 
 TEST(FleetLimits, ARouteHasNothingBeforeALeaseAndItsPartAfter) {
   const Settings s = two_tenants();
@@ -135,12 +139,13 @@
   EXPECT_EQ(limiter.fleet_use(kSecond).at("r").under_way, 0);
   EXPECT_GT(limiter.fleet_use(kSecond).at("r").rate, 0);
   limiter.set_fleet(kSecond, {{{"r", 1000}}, {{"r", 2}}});
-  int let_in = 0;
-  for (QueryId id = 2; id <= 6; ++id) let_in += admit(id) == limits::Verdict::Kind::kLetIn ? 1 : 0;
-  EXPECT_LE(let_in, 2);
+  int admitted = 0;
+  for (QueryId id = 2; id <= 6; ++id) admitted += admit(id) == limits::Verdict::Kind::kLetIn ? 1 : 0;
+  EXPECT_LE(admitted, 2);
 }
 
-// A part that moves brings no tokens with it: what another bucket gave up is never there twice.
+// A rate that moves between controllers brings no tokens with it: tokens of another bucket must not be usable
+// twice.
 TEST(FleetLimits, ABucketThatGrowsBeginsWithWhatIsInIt) {
   limits::TokenBucket bucket(limits::Rate{10, 4, true});
   for (int i = 0; i < 4; ++i) {
@@ -152,17 +157,17 @@
   EXPECT_FALSE(bucket.ready(0));
   int taken = 0;
   while (bucket.ready(kSecond / 10)) bucket.take(kSecond / 10), ++taken;
-  EXPECT_EQ(taken, 2);                                          // 20 a second for a tenth of one
-  bucket.change_level(10 * kSecond, limits::Rate{5, 2, true});  // a smaller one spills
+  EXPECT_EQ(taken, 2);                                          // 20 per second, for a tenth of a second
+  bucket.change_level(10 * kSecond, limits::Rate{5, 2, true});  // a smaller bucket drops what exceeds it
   taken = 0;
   while (bucket.ready(10 * kSecond)) bucket.take(10 * kSecond), ++taken;
   EXPECT_EQ(taken, 2);
 }
 
-// --- Whom a member asks ---
+// --- Which keeper a member sends its requests to ---
 
 TEST(Member, GoesOnToTheNextKeeperAndPausesWhereNoneIsKnownToLead) {
-  MemberRole role({"c0", 1}, terms_of(four(), two_tenants(), nullptr), {1, 2, 3}, 9);
+  MemberRole role({"c0", 1}, terms_of(config_for_four(), two_tenants(), nullptr), {1, 2, 3}, 9);
   ASSERT_TRUE(role.due(0));
   const KeeperId first = role.asks();
   const budget::Ask ask = role.ask(0, {}, {});
@@ -174,19 +179,19 @@
   role.told(due + 5, Elsewhere{second.seq, first});
   EXPECT_EQ(role.asks(), first);
   EXPECT_TRUE(role.due(due + 5));
-  // Two that each name the other are not asked in a circle.
+  // Two keepers that each name the other as the leader must not cause a loop of requests.
   TimeUs now = due + 5;
-  int at_once = 0;
-  while (role.due(now) && at_once < 100) {
-    const budget::Ask again = role.ask(now, {}, {});
-    role.told(now, Elsewhere{again.seq, role.asks() == first ? first % 3 + 1 : first});
-    ++at_once;
+  int immediate_requests = 0;
+  while (role.due(now) && immediate_requests < 100) {
+    const budget::Ask repeated = role.ask(now, {}, {});
+    role.told(now, Elsewhere{repeated.seq, role.asks() == first ? first % 3 + 1 : first});
+    ++immediate_requests;
   }
-  EXPECT_LT(at_once, 5);
+  EXPECT_LT(immediate_requests, 5);
 }
 
 TEST(Member, AnAskWithoutAnAnswerGoesToAnotherKeeper) {
-  MemberRole role({"c0", 1}, terms_of(four(), two_tenants(), nullptr), {1, 2, 3}, 9);
+  MemberRole role({"c0", 1}, terms_of(config_for_four(), two_tenants(), nullptr), {1, 2, 3}, 9);
   role.ask(0, {}, {});
   const KeeperId first = role.asks();
   EXPECT_LE(role.next_due(), 3 * kSecond / 6 * 11 / 10 + 1);
@@ -194,18 +199,18 @@
   EXPECT_NE(role.asks(), first);
 }
 
-// --- The fleet's file ---
+// --- The fleet's configuration file ---
 
-const char* const kGood =
+const char* const kValidFile =
     "version: 1\nfleet: {name: f, number: 1}\nrevision: 1\nlargest: 4\nlease: {term: 3s, drift: 1%}\n"
     "keepers:\n  - {id: 1, name: c0, address: 127.0.0.1:7201}\n";
-const char* const kEnd = "...\n";
+const char* const kEndMarker = "...\n";
 
 TEST(FleetFile, AGoodOneIsReadWhole) {
-  const auto read = operator_file::read_fleet_file(std::string(kGood) +
+  const auto read = operator_file::read_fleet_file(std::string(kValidFile) +
                                                    "division: {cut_off: 10%, reserve: 0, least: 50%}\n"
                                                    "further_attempts: 9\nstore: /s\nreturn: {ramp: 5s}\n" +
-                                                   kEnd);
+                                                   kEndMarker);
   ASSERT_TRUE(read.faults.empty()) << read.faults[0].path << read.faults[0].why;
   EXPECT_EQ(read.fleet.term, 3 * kSecond);
   EXPECT_EQ(read.fleet.drift_ppm, 10'000);
@@ -216,47 +221,50 @@
   EXPECT_EQ(read.fleet.ramp, 5 * kSecond);
 }
 
-struct Bad {
-  const char* what;  // replaces...
-  const char* by;
-  const char* path;
+struct InvalidFile {
+  const char* original;     // text in the valid file
+  const char* replacement;  // what it is replaced by
+  const char* path;         // of the field that the error has to name
   int line;
 };
 
-class BadFleetFiles : public ::testing::TestWithParam<Bad> {};
+class BadFleetFiles : public ::testing::TestWithParam<InvalidFile> {};
 
 TEST_P(BadFleetFiles, NameLineFieldAndReason) {
-  std::string text = kGood;
-  const auto at = text.find(GetParam().what);
+  std::string text = kValidFile;
+  const auto at = text.find(GetParam().original);
   ASSERT_NE(at, std::string::npos);
-  text.replace(at, std::string(GetParam().what).size(), GetParam().by);
-  const auto read = operator_file::read_fleet_file(text + kEnd);
+  text.replace(at, std::string(GetParam().original).size(), GetParam().replacement);
+  const auto read = operator_file::read_fleet_file(text + kEndMarker);
   ASSERT_FALSE(read.faults.empty()) << text;
   EXPECT_EQ(read.faults[0].path, GetParam().path);
   EXPECT_EQ(read.faults[0].place.line, GetParam().line);
   EXPECT_FALSE(read.faults[0].why.empty());
 }
 
-std::ostream& operator<<(std::ostream& out, const Bad& bad) { return out << bad.by; }
+std::ostream& operator<<(std::ostream& out, const InvalidFile& invalid) { return out << invalid.replacement; }
 
 INSTANTIATE_TEST_SUITE_P(
     All, BadFleetFiles,
     ::testing::Values(
-        Bad{"version: 1", "version: 2", "version", 1}, Bad{"number: 1", "number: 0", "fleet.number", 2},
-        Bad{"name: f, ", "", "fleet.name", 2}, Bad{"largest: 4", "largest: 0", "largest", 4},
-        Bad{"largest: 4", "largest: 10001", "largest", 4}, Bad{"3s", "100ms", "lease.term", 5},
-        Bad{"3s", "2m", "lease.term", 5}, Bad{"1%}", "11%}", "lease.drift", 5},
-        Bad{"revision: 1", "revision: -1", "revision", 3}, Bad{"id: 1", "id: x", "keepers[0].id", 7},
-        Bad{"127.0.0.1:7201", "localhost:7201", "keepers[0].address", 7},
-        Bad{"127.0.0.1:7201", "127.0.0.1:0", "keepers[0].address", 7},
-        Bad{"keepers:\n", "keeper: 1\nkeepers:\n", "keeper", 6},
-        Bad{"keepers:\n", "keys: {scope: all}\nkeepers:\n", "keys.scope", 6},
-        Bad{"keepers:\n", "keys: {}\nkeepers:\n", "keys.scope", 6},
-        Bad{"keepers:\n", "bad_store: go_on\nkeepers:\n", "bad_store", 6},
-        Bad{"revision: 1\n", "revision: 1\ndivision: {cut_off: 90%, reserve: 10%}\n", "division", 4},
-        Bad{"7201}\n", "7201}\n  - {id: 1, name: c1, address: 127.0.0.1:7202}\n", "keepers", 7},
-        Bad{"largest: 4", "largest: 4\nfurther_attempts: many", "further_attempts", 5},
-        Bad{"largest: 4", "largest: 4\nreturn: {ramp: 11m}", "return.ramp", 5}));
+        InvalidFile{"version: 1", "version: 2", "version", 1},
+        InvalidFile{"number: 1", "number: 0", "fleet.number", 2},
+        InvalidFile{"name: f, ", "", "fleet.name", 2}, InvalidFile{"largest: 4", "largest: 0", "largest", 4},
+        InvalidFile{"largest: 4", "largest: 10001", "largest", 4},
+        InvalidFile{"3s", "100ms", "lease.term", 5}, InvalidFile{"3s", "2m", "lease.term", 5},
+        InvalidFile{"1%}", "11%}", "lease.drift", 5},
+        InvalidFile{"revision: 1", "revision: -1", "revision", 3},
+        InvalidFile{"id: 1", "id: x", "keepers[0].id", 7},
+        InvalidFile{"127.0.0.1:7201", "localhost:7201", "keepers[0].address", 7},
+        InvalidFile{"127.0.0.1:7201", "127.0.0.1:0", "keepers[0].address", 7},
+        InvalidFile{"keepers:\n", "keeper: 1\nkeepers:\n", "keeper", 6},
+        InvalidFile{"keepers:\n", "keys: {scope: all}\nkeepers:\n", "keys.scope", 6},
+        InvalidFile{"keepers:\n", "keys: {}\nkeepers:\n", "keys.scope", 6},
+        InvalidFile{"keepers:\n", "bad_store: go_on\nkeepers:\n", "bad_store", 6},
+        InvalidFile{"revision: 1\n", "revision: 1\ndivision: {cut_off: 90%, reserve: 10%}\n", "division", 4},
+        InvalidFile{"7201}\n", "7201}\n  - {id: 1, name: c1, address: 127.0.0.1:7202}\n", "keepers", 7},
+        InvalidFile{"largest: 4", "largest: 4\nfurther_attempts: many", "further_attempts", 5},
+        InvalidFile{"largest: 4", "largest: 4\nreturn: {ramp: 11m}", "return.ramp", 5}));
 
 }  // namespace
 }  // namespace orchidgw::fleet
--- a/tests/store/power_cut_disk.h
+++ b/tests/store/power_cut_disk.h
@@ -1,6 +1,6 @@
-// A disk below LMDB: every write and sync of one file is recorded as the library makes it (its calls are
-// taken over in this program alone), and the file is put together again as a power cut may have left it. What
-// was synced is there; of what was written since, each sector is there or not, in any order.
+// A disk below LMDB: records every write and sync that the library makes on one file (the C library's
+// functions are replaced in this program only), and rebuilds the file as a power cut may leave it. Synced
+// writes are there; of later writes each sector may be there or not, applied in any order.
 #pragma once
 
 #include <cstdint>
@@ -10,17 +10,17 @@
 
 namespace orchidgw::store {
 
-inline constexpr std::size_t kSector = 512;  // written whole or not at all, as disks promise
+inline constexpr std::size_t kSector = 512;  // bytes; disks write a sector whole or not at all
 
 struct DiskStep {
   enum class Kind { kWrite, kSync };
   Kind kind = Kind::kWrite;
-  bool durable = false;  // a write that is a sync of its own bytes (O_DSYNC)
-  std::uint64_t at = 0;
+  bool durable = false;  // a write with O_DSYNC, which syncs its own bytes
+  std::uint64_t at = 0;  // offset in the file
   std::string bytes;
 };
 
-// While one is there, the steps on files whose name ends in `suffix` are recorded.
+// While it exists, records the steps on files whose path ends in `suffix`. One at a time.
 class DiskRecorder {
  public:
   explicit DiskRecorder(std::string suffix);
@@ -35,7 +35,8 @@
   std::vector<DiskStep> steps_;
 };
 
-// The file as it may be found where the power went within step number `cut`.
+// The file's content as it may be found after a power cut during step number `cut`, chosen by `random`.
+// `before`: its content before the first step.
 std::string after_power_cut(std::string before, const std::vector<DiskStep>& steps, std::size_t cut,
                             std::mt19937_64& random);
 
--- a/tests/store/power_cut_test.cpp
+++ b/tests/store/power_cut_test.cpp
@@ -1,5 +1,5 @@
-// Power cuts at every step that LMDB makes on its file, below the last sync too: what was acknowledged is
-// there afterwards, what was under way is there whole or not at all.
+// Power cuts at every write and sync that LMDB makes on its file, with unsynced sectors lost too.
+// Acknowledged commits must be there afterwards; the commit in progress must be there whole or not at all.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -23,8 +23,8 @@
   return out.str();
 }
 
-// The last commit that was acknowledged before that step; `acked`: steps made by each, the empty store's
-// first.
+// Number of the last commit that was acknowledged before step `cut`. `acked`: the number of steps made when
+// each commit was acknowledged, beginning with the opening of the empty store.
 std::size_t commits_before(std::size_t cut, const std::vector<std::size_t>& acked) {
   return static_cast<std::size_t>(std::upper_bound(acked.begin(), acked.end(), cut) - acked.begin() - 1);
 }
@@ -37,7 +37,7 @@
     folder = path;
   }
   ~PowerCut() override { std::filesystem::remove_all(folder); }
-  std::string anew(const std::string& file) const {  // a folder with that file
+  std::string new_folder_with(const std::string& file) const {  // a new folder with that file
     const std::string to = folder + "/found";
     std::filesystem::remove_all(to);
     std::filesystem::create_directory(to);
@@ -48,8 +48,9 @@
   std::mt19937_64 random{11};
 };
 
-// What a keeper does between two commits: terms, votes, entries, truncation, a snapshot that compacts.
-void work(LmdbStore& store, std::uint64_t& last, std::uint64_t n, std::mt19937_64& random) {
+// Writes what a keeper may write between two commits: terms, votes, entries, truncation, a snapshot that
+// compacts the log.
+void write_randomly(LmdbStore& store, std::uint64_t& last, std::uint64_t n, std::mt19937_64& random) {
   if (n % 7 == 0) store.set_term(n);
   if (n % 7 == 1) store.set_vote(1 + random() % 3);
   if (n % 11 == 0 && last > 3) store.truncate(last - 1), last -= 2;
@@ -66,7 +67,7 @@
 TEST_F(PowerCut, OfAKeepersLogAtEachStepLosesNothingAcknowledgedAndTearsNothing) {
   constexpr std::uint64_t kCommits = 120;
   std::vector<Stored> states;      // after each commit
-  std::vector<std::size_t> acked;  // steps that were made by then
+  std::vector<std::size_t> acked;  // number of steps made by then
   std::vector<DiskStep> steps;
   {
     DiskRecorder recorder(kFile);
@@ -75,7 +76,7 @@
     acked.push_back(recorder.steps().size());
     std::uint64_t last = 0;
     for (std::uint64_t n = 1; n <= kCommits; ++n) {
-      work(store, last, n, random);
+      write_randomly(store, last, n, random);
       store.commit();
       states.push_back(store.load());
       acked.push_back(recorder.steps().size());
@@ -83,23 +84,23 @@
     steps = recorder.steps();
   }
   ASSERT_GT(steps.size(), 3 * kCommits);
-  int cuts = 0, under_way_came = 0;
+  int cuts = 0, unacknowledged_found = 0;
   for (std::size_t cut = acked[0]; cut < steps.size(); ++cut) {
     const std::size_t done = commits_before(cut, acked);
     for (int variant = 0; variant < 3; ++variant, ++cuts) {
-      LmdbStore found(anew(after_power_cut("", steps, cut, random)), kBytes);
+      LmdbStore found(new_folder_with(after_power_cut("", steps, cut, random)), kBytes);
       const Stored stored = found.load();
       const bool next =
           done + 1 < states.size() && stored == states[done + 1] && states[done] != states[done + 1];
       ASSERT_TRUE(stored == states[done] || next) << "step " << cut << " after commit " << done;
-      under_way_came += next ? 1 : 0;
+      unacknowledged_found += next ? 1 : 0;
     }
   }
   EXPECT_GT(cuts, 1'000);
-  EXPECT_GT(under_way_came, 0);
+  EXPECT_GT(unacknowledged_found, 0);
 }
 
-// Ten in a row, each while the store that the one before left is in use again.
+// Ten power cuts in a row, each while the store that the one before left is in use again.
 TEST_F(PowerCut, TenInARowLeaveAStoreThatGoesOn) {
   for (int round = 0; round < 20; ++round) {
     std::string file;
@@ -112,13 +113,13 @@
       std::vector<DiskStep> steps;
       {
         DiskRecorder recorder(kFile);
-        LmdbStore store(anew(file), kBytes);
+        LmdbStore store(new_folder_with(file), kBytes);
         states.push_back(store.load());
         ASSERT_EQ(states[0], known) << "round " << round << " loss " << loss;
         acked.push_back(recorder.steps().size());
         std::uint64_t last = states[0].first + states[0].entries.size() - 1;
         for (std::uint64_t n = 1; n <= 12; ++n) {
-          work(store, last, ++number, random);
+          write_randomly(store, last, ++number, random);
           store.commit();
           states.push_back(store.load());
           acked.push_back(recorder.steps().size());
@@ -128,7 +129,7 @@
       const std::size_t cut = acked[0] + random() % (steps.size() - acked[0]);
       const std::size_t done = commits_before(cut, acked);
       file = after_power_cut(before, steps, cut, random);
-      LmdbStore found(anew(file), kBytes);
+      LmdbStore found(new_folder_with(file), kBytes);
       known = found.load();
       ASSERT_TRUE(known == states[done] || known == states[done + 1])
           << "round " << round << " loss " << loss;
@@ -160,7 +161,7 @@
   for (std::size_t cut = acked[0]; cut < steps.size(); ++cut) {
     const std::size_t done = commits_before(cut, acked);
     for (int variant = 0; variant < 3; ++variant, ++cuts) {
-      IntentStore found(anew(after_power_cut("", steps, cut, random)), kBytes);
+      IntentStore found(new_folder_with(after_power_cut("", steps, cut, random)), kBytes);
       const auto stored = found.load();
       ASSERT_TRUE(stored == states[done] || (done + 1 < states.size() && stored == states[done + 1]))
           << "step " << cut;
@@ -169,21 +170,21 @@
   EXPECT_GT(cuts, 500);
 }
 
-// The disk loses what no sync holds, and keeps what one does.
+// Checks the simulated disk itself: it loses unsynced writes and keeps synced ones.
 TEST_F(PowerCut, WithoutSyncsTheDiskLosesWhatWasWritten) {
   std::vector<DiskStep> steps;
   {
     DiskRecorder recorder(kFile);
     LmdbStore store(folder, kBytes);
     std::uint64_t at = 0;
-    for (std::uint64_t n = 1; n <= 30; ++n) work(store, at, n, random), store.commit();
+    for (std::uint64_t n = 1; n <= 30; ++n) write_randomly(store, at, n, random), store.commit();
     steps = recorder.steps();
   }
-  const std::string whole = file_of(folder);
-  EXPECT_EQ(after_power_cut("", steps, steps.size(), random), whole);
+  const std::string complete = file_of(folder);
+  EXPECT_EQ(after_power_cut("", steps, steps.size(), random), complete);
   std::erase_if(steps, [](const DiskStep& step) { return step.kind == DiskStep::Kind::kSync; });
   for (DiskStep& step : steps) step.durable = false;
-  EXPECT_NE(after_power_cut("", steps, steps.size(), random), whole);
+  EXPECT_NE(after_power_cut("", steps, steps.size(), random), complete);
 }
 
 }  // namespace
