--- a/bench/fleet_sizes.cpp
+++ b/bench/fleet_sizes.cpp
@@ -14,20 +14,20 @@
 using orchidgw::fleet::FleetSimulation;
 
 constexpr TimeUs kSecond = 1'000'000;
-constexpr TimeUs kLongest = 60 * kSecond;
+constexpr TimeUs kTimeout = 60 * kSecond;
 
 double cpu_seconds() { return static_cast<double>(std::clock()) / CLOCKS_PER_SEC; }
 
 // Until the whole is divided among those that live; simulated seconds.
-double until_divided(FleetSimulation& fleet) {
+double run_until_fully_leased(FleetSimulation& fleet) {
   const TimeUs from = fleet.now();
   do {
     fleet.run(20'000, 10'000);
-  } while (fleet.overdrawn().empty() && !fleet.all_in_use() && fleet.now() < from + kLongest);
+  } while (fleet.overdrawn().empty() && !fleet.all_in_use() && fleet.now() < from + kTimeout);
   return static_cast<double>(fleet.now() - from) / 1e6;
 }
 
-struct Figures {
+struct Samples {
   std::vector<double> values;
   void print(const char* what) {
     std::sort(values.begin(), values.end());
@@ -37,39 +37,39 @@
 };
 
 void measure(int members, int seeds) {
-  Figures part, join, kill, pause, cut, power, messages, bytes, cpu;
+  Samples part, join, kill, pause, cut, power, messages, bytes, cpu;
   for (int seed = 1; seed <= seeds; ++seed) {
     FleetSimulation::Shape shape = fleet_shape(3, members);
     shape.terms.longest_rest = 0;  // no keys: what budgets cost
     FleetSimulation fleet(shape, static_cast<std::uint64_t>(seed));
     fleet.kill_member(0);
-    until_divided(fleet);
+    run_until_fully_leased(fleet);
     fleet.start_member(0);
     const TimeUs joined = fleet.now();
     while (fleet.overdrawn().empty() && !fleet.holder(0).leased(fleet.now()) &&
-           fleet.now() < joined + kLongest)
+           fleet.now() < joined + kTimeout)
       fleet.run(10'000, 10'000);
     part.values.push_back(static_cast<double>(fleet.now() - joined) / 1e6);
-    join.values.push_back(part.values.back() + until_divided(fleet));
+    join.values.push_back(part.values.back() + run_until_fully_leased(fleet));
     fleet.kill_member(1);
-    kill.values.push_back(until_divided(fleet));
+    kill.values.push_back(run_until_fully_leased(fleet));
     fleet.start_member(1);
-    until_divided(fleet);
+    run_until_fully_leased(fleet);
     fleet.pause_member(2, 30 * kSecond);
     fleet.run(3 * kSecond, 10'000);
-    pause.values.push_back(3 + until_divided(fleet));
+    pause.values.push_back(3 + run_until_fully_leased(fleet));
     fleet.run(30 * kSecond, 10'000);
-    until_divided(fleet);
-    const std::size_t place = fleet.keepers() + 3;
-    for (std::size_t k = 0; k < fleet.keepers(); ++k) fleet.cut(k, place, true), fleet.cut(place, k, true);
+    run_until_fully_leased(fleet);
+    const std::size_t node = fleet.keepers() + 3;
+    for (std::size_t k = 0; k < fleet.keepers(); ++k) fleet.cut(k, node, true), fleet.cut(node, k, true);
     fleet.run(3 * kSecond, 10'000);
-    cut.values.push_back(3 + until_divided(fleet));
+    cut.values.push_back(3 + run_until_fully_leased(fleet));
     fleet.heal();
-    until_divided(fleet);
+    run_until_fully_leased(fleet);
     fleet.power_off();
     for (std::size_t k = 0; k < fleet.keepers(); ++k) fleet.start_keeper(k);
     for (std::size_t m = 0; m < fleet.members(); ++m) fleet.start_member(m);
-    power.values.push_back(until_divided(fleet));
+    power.values.push_back(run_until_fully_leased(fleet));
     const std::uint64_t messages_before = fleet.messages();
     const std::uint64_t bytes_before = fleet.bytes();
     const double cpu_before = cpu_seconds();
@@ -96,8 +96,8 @@
 
 // Power lost to all, back within a second, with a ramp of 6 s and each controller's keyed loads, one a
 // second: until all have a lease, and until the whole is divided.
-void come_back(int members, int seeds) {
-  Figures leased, divided, keyed;
+void measure_power_loss(int members, int seeds) {
+  Samples leased, divided, keyed;
   for (int seed = 1; seed <= seeds; ++seed) {
     FleetSimulation::Shape shape = fleet_shape(3, members);
     shape.terms.ramp = 6 * kSecond;
@@ -118,13 +118,13 @@
     };
     const std::uint64_t sent = fleet.keys_sent();
     double first_key = 0;
-    while (!all_leased() && fleet.now() < power + kLongest) {
+    while (!all_leased() && fleet.now() < power + kTimeout) {
       fleet.run(10'000, 10'000);
       if (first_key == 0 && fleet.keys_sent() > sent) first_key = since();
     }
     leased.values.push_back(since());
     keyed.values.push_back(first_key > 0 ? first_key : since());
-    until_divided(fleet);
+    run_until_fully_leased(fleet);
     divided.values.push_back(since());
     if (!fleet.overdrawn().empty()) std::cout << "BROKEN: " << fleet.overdrawn() << '\n';
   }
@@ -138,7 +138,7 @@
 }
 
 // What each event pays for a fleet: the clock read, and the lease's end held against it.
-void check_at_the_send() {
+void measure_lease_check() {
   constexpr int kTimes = 5'000'000;
   orchidgw::budget::Holder holder({"c0", 1}, fleet_shape(1, 5).terms);
   const double before = cpu_seconds();
@@ -157,15 +157,15 @@
 // fleet_sizes [MEMBERS [SEEDS]]: without SEEDS the way back after a power loss alone
 int main(int argc, char** argv) {
   if (argc == 2) {
-    come_back(std::stoi(argv[1]), 5);
+    measure_power_loss(std::stoi(argv[1]), 5);
     return 0;
   }
-  check_at_the_send();
+  measure_lease_check();
   if (argc > 2) {
     measure(std::stoi(argv[1]), std::stoi(argv[2]));
     return 0;
   }
   measure(300, 9);
-  come_back(300, 5);
+  measure_power_loss(300, 5);
   measure(2'000, 1);
 }
--- a/bench/limits_bench.cpp
+++ b/bench/limits_bench.cpp
@@ -29,7 +29,7 @@
 
 using namespace orchidgw;
 
-Settings deployment() {
+Settings test_settings() {
   Settings s;
   for (const char* name : {"lookup", "report", "order-load"}) {
     ClassSettings c;
@@ -44,7 +44,7 @@
 }
 
 // One route a table, for classes and tenants in turn; some state prefixes.
-std::string file_of(int routes) {
+std::string make_operator_file(int routes) {
   constexpr const char* kClasses[] = {"lookup", "report", "order-load"};
   std::string text = "version: 1\nroutes:\n";
   for (int i = 0; i < routes; ++i) {
@@ -55,14 +55,14 @@
   return text + "...\n";
 }
 
-std::shared_ptr<const limits::LimitSet> set_of(int routes) {
-  const auto read = operator_file::read_operator_file(file_of(routes));
+std::shared_ptr<const limits::LimitSet> make_limit_set(int routes) {
+  const auto read = operator_file::read_operator_file(make_operator_file(routes));
   if (!read.faults.empty()) std::abort();
-  return std::make_shared<const limits::LimitSet>(deployment(), read.file.limits, 1);
+  return std::make_shared<const limits::LimitSet>(test_settings(), read.file.limits, 1);
 }
 
 void find_route(benchmark::State& state) {
-  const auto set = set_of(static_cast<int>(state.range(0)));
+  const auto set = make_limit_set(static_cast<int>(state.range(0)));
   std::vector<std::string> tables;
   for (int i = 0; i < 64; ++i) tables.push_back("s_" + std::to_string(i * 15) + ".o");
   std::size_t i = 0;
@@ -77,8 +77,8 @@
 BENCHMARK(find_route)->Arg(1)->Arg(1'000)->Arg(10'000);
 
 void load_and_check(benchmark::State& state) {
-  const std::string text = file_of(static_cast<int>(state.range(0)));
-  const Settings settings = deployment();
+  const std::string text = make_operator_file(static_cast<int>(state.range(0)));
+  const Settings settings = test_settings();
   for (auto _ : state) {
     const auto read = operator_file::read_operator_file(text);
     if (!read.faults.empty() || !limits::check(settings, read.file.limits, 20'000).empty()) std::abort();
@@ -88,10 +88,10 @@
 }
 BENCHMARK(load_and_check)->Arg(1'000)->Arg(10'000)->Unit(benchmark::kMillisecond);
 
-void let_in_and_out(benchmark::State& state) {
-  const Settings settings = deployment();
+void admit_and_end(benchmark::State& state) {
+  const Settings settings = test_settings();
   limits::Limiter limiter(settings, 1);
-  if (state.range(0) > 0) limiter.put_in_force(1, set_of(static_cast<int>(state.range(0))));
+  if (state.range(0) > 0) limiter.put_in_force(1, make_limit_set(static_cast<int>(state.range(0))));
   TimeUs now = 1'000'000;
   QueryId id = 0;
   for (auto _ : state) {
@@ -103,7 +103,7 @@
     limiter.over(now, id);
   }
 }
-BENCHMARK(let_in_and_out)->Arg(0)->Arg(1'000);
+BENCHMARK(admit_and_end)->Arg(0)->Arg(1'000);
 
 }  // namespace
 
--- a/bench/service_days.cpp
+++ b/bench/service_days.cpp
@@ -27,26 +27,26 @@
 constexpr TimeUs kSecond = 1'000'000;
 constexpr TimeUs kStep = 5 * kMs;
 constexpr TimeUs kStart = 1'000 * kSecond;
-constexpr TimeUs kDay = 180 * kSecond;
-constexpr TimeUs kTroubleFrom = 30 * kSecond, kTroubleTo = 110 * kSecond;
+constexpr TimeUs kDayLength = 180 * kSecond;
+constexpr TimeUs kDisturbanceStart = 30 * kSecond, kDisturbanceEnd = 110 * kSecond;
 constexpr int kEngines = 6;
 constexpr int kCores = 8;
 
-struct Kind {
+struct QueryKind {
   const char* name;
   double per_second;
   double work_ms;  // on one core
   int threads;
-  double worth;
+  double value;
   double late_worth;
   TimeUs aim;
-  double stretch;
+  double runtime_factor;
   TimeUs deadline;
   Effect effect;
 };
 
 // Load of about 0.7 of all cores on a calm day.
-constexpr std::array<Kind, 3> kKinds = {{
+constexpr std::array<QueryKind, 3> kQueryKinds = {{
     {"lookup", 68, 150, 1, 1, 0.1, 750 * kMs, 2, 4 * kSecond, Effect::kIdempotent},
     {"report", 4.6, 2'800, 2, 6, 0.4, 1'500 * kMs, 2.5, 20 * kSecond, Effect::kIdempotent},
     {"order-load", 1.8, 5'600, 2, 15, 0.6, 4 * kSecond, 3, 20 * kSecond, Effect::kDeduplicated},
@@ -54,8 +54,8 @@
 
 struct Day {
   const char* name;
-  std::function<double(std::size_t kind, bool trouble)> rate;  // times the calm one
-  std::function<double(int engine, bool trouble)> speed;       // of an engine, 1 on a calm day
+  std::function<double(std::size_t kind, bool disturbed)> rate;  // times the calm one
+  std::function<double(int engine, bool disturbed)> speed;       // of an engine, 1 on a calm day
 };
 
 // Reports are shed only while more of them come than usual: where all engines are slow and demand is as ever,
@@ -96,15 +96,15 @@
 
 Settings settings() {
   Settings s;
-  for (const Kind& k : kKinds) {
+  for (const QueryKind& k : kQueryKinds) {
     ClassSettings c;
     c.name = k.name;
     c.aim = k.aim;
-    c.aim_stretch = k.stretch;
+    c.aim_stretch = k.runtime_factor;
     c.deadline = k.deadline;
     c.effect = k.effect;
     c.repeat_window = 12 * kSecond;
-    c.value = k.worth;
+    c.value = k.value;
     c.late_worth = k.late_worth;
     c.threads = k.threads;
     s.classes.push_back(c);
@@ -123,13 +123,13 @@
 }
 
 struct Result {
-  double offered = 0, worth = 0, loads = 0, loads_in_aim = 0;
+  double offered = 0, value = 0, loads = 0, loads_in_target = 0;
   std::uint64_t refused = 0, shed = 0, failed = 0, changes = 0;
 };
 
-class Play {
+class DaySimulation {
  public:
-  Play(const Day& day, bool levels, unsigned seed)
+  DaySimulation(const Day& day, bool levels, unsigned seed)
       : day_(day), settings_(settings()), random_(seed), reducer_(settings_, seed, counters_) {
     EnginesChanged change;
     change.kind = ListKind::kStored;
@@ -151,10 +151,10 @@
   }
 
   Result run() {
-    for (; now_ < kStart + kDay + 30 * kSecond; now_ += kStep) {
-      if (now_ < kStart + kDay) arrive();
+    for (; now_ < kStart + kDayLength + 30 * kSecond; now_ += kStep) {
+      if (now_ < kStart + kDayLength) arrive();
       work();
-      answer_held();
+      answer_waiting_calls();
       while (reducer_.next_due() && *reducer_.next_due() <= now_) {
         const auto before = reducer_.next_due();
         apply(TimePassed{});
@@ -169,14 +169,14 @@
   }
 
  private:
-  struct Asked {
+  struct SentRequest {
     std::size_t kind = 0;
     TimeUs at = 0;
     double work = 0;  // microseconds on one core
   };
-  struct Running {
+  struct RunningQuery {
     int engine = 0;
-    double left = 0;  // microseconds of one core
+    double remaining = 0;  // microseconds of one core
     int threads = 1;
     CallId call = 0;  // that waits for it; 0: none
     TimeUs call_until = 0;
@@ -184,24 +184,25 @@
     double cost = 0;
   };
 
-  bool trouble() const { return now_ >= kStart + kTroubleFrom && now_ < kStart + kTroubleTo; }
+  bool disturbed() const { return now_ >= kStart + kDisturbanceStart && now_ < kStart + kDisturbanceEnd; }
 
   void arrive() {
-    for (std::size_t k = 0; k < kKinds.size(); ++k) {
-      const double mean = kKinds[k].per_second * day_.rate(k, trouble()) * static_cast<double>(kStep) / 1e6;
-      for (int n = std::poisson_distribution<int>(mean)(random_); n > 0; --n) ask(k);
+    for (std::size_t k = 0; k < kQueryKinds.size(); ++k) {
+      const double mean =
+          kQueryKinds[k].per_second * day_.rate(k, disturbed()) * static_cast<double>(kStep) / 1e6;
+      for (int n = std::poisson_distribution<int>(mean)(random_); n > 0; --n) send_request(k);
     }
   }
 
-  void ask(std::size_t k) {
-    const Kind& kind = kKinds[k];
+  void send_request(std::size_t k) {
+    const QueryKind& kind = kQueryKinds[k];
     const double cv = 0.7;
     const double sigma = std::sqrt(std::log(1 + cv * cv));
     const double work_us =
         kind.work_ms * 1e3 * std::lognormal_distribution<double>(-sigma * sigma / 2, sigma)(random_);
     const RequestTag tag = ++last_tag_;
-    asked_[tag] = {k, now_, work_us};
-    result_.offered += kind.worth;
+    sent_[tag] = {k, now_, work_us};
+    result_.offered += kind.value;
     if (k == 2) result_.loads += 1;
     ClientRequest r;
     r.class_name = kind.name;
@@ -224,13 +225,14 @@
       if (q.done) continue;
       const double all = threads[static_cast<std::size_t>(q.engine)];
       const double share = std::min(1.0, kCores / all);
-      const double thrash = all > 2 * kCores ? std::pow(2.0 * kCores / all, 0.5) : 1.0;
-      q.left -= static_cast<double>(kStep) * q.threads * share * thrash * day_.speed(q.engine, trouble());
-      q.done = q.left <= 0;
+      const double switching_factor = all > 2 * kCores ? std::pow(2.0 * kCores / all, 0.5) : 1.0;
+      q.remaining -= static_cast<double>(kStep) * q.threads * share * switching_factor *
+                     day_.speed(q.engine, disturbed());
+      q.done = q.remaining <= 0;
     }
   }
 
-  void answer_held() {
+  void answer_waiting_calls() {
     std::vector<std::pair<std::string, CallAnswer>> out;
     for (auto& [id, q] : running_) {
       if (q.call == 0 || (!q.done && now_ < q.call_until)) continue;
@@ -241,7 +243,7 @@
       out.emplace_back(id, std::move(answer));
     }
     for (auto& [id, answer] : out) {
-      Running& q = running_.at(id);
+      RunningQuery& q = running_.at(id);
       const CallId call = std::exchange(q.call, 0);
       if (q.done) running_.erase(id);
       apply(CallAnswered{call, std::move(answer)});
@@ -253,31 +255,31 @@
       if (auto* call = std::get_if<StartCall>(&effect)) {
         on_call(*call);
       } else if (auto* drop = std::get_if<DropCall>(&effect)) {
-        later_.push_back(CallEnded{drop->call, ConnectionEnd::kDropped});
+        pending_events_.push_back(CallEnded{drop->call, ConnectionEnd::kDropped});
         for (auto& [id, q] : running_)
           if (q.call == drop->call) q.call = 0;
       } else if (auto* served = std::get_if<AnswerServed>(&effect)) {
         on_served(served->tag);
       }
     }
-    while (!later_.empty()) {
-      Event next = std::move(later_.front());
-      later_.erase(later_.begin());
+    while (!pending_events_.empty()) {
+      Event next = std::move(pending_events_.front());
+      pending_events_.erase(pending_events_.begin());
       apply(std::move(next));
     }
   }
 
   void on_call(const StartCall& call) {
     if (call.kind == CallKind::kStart) {
-      const Asked& asked =
-          asked_.at(static_cast<RequestTag>(std::stoll(call.reference) - 1'000'000'000'000'000));
+      const SentRequest& sent =
+          sent_.at(static_cast<RequestTag>(std::stoll(call.reference) - 1'000'000'000'000'000));
       running_[call.reference] = {numbers_.at(call.engine),
-                                  asked.work,
-                                  kKinds[asked.kind].threads,
+                                  sent.work,
+                                  kQueryKinds[sent.kind].threads,
                                   call.call,
                                   now_ + 250 * kMs,
                                   false,
-                                  asked.work};
+                                  sent.work};
       return;
     }
     CallAnswer answer;
@@ -292,16 +294,16 @@
       answer.kind = CallAnswer::Kind::kError;
     }
     if (call.kind == CallKind::kGiveUp) running_.erase(call.reference);
-    later_.push_back(CallAnswered{call.call, std::move(answer)});
+    pending_events_.push_back(CallAnswered{call.call, std::move(answer)});
   }
 
   void on_served(RequestTag tag) {
-    const Asked& asked = asked_.at(tag);
-    const Kind& kind = kKinds[asked.kind];
-    const double aim = static_cast<double>(kind.aim) + kind.stretch * asked.work / kind.threads;
-    const bool in_time = static_cast<double>(now_ - asked.at) <= aim;
-    result_.worth += in_time ? kind.worth : kind.worth * kind.late_worth;
-    if (asked.kind == 2 && in_time) result_.loads_in_aim += 1;
+    const SentRequest& sent = sent_.at(tag);
+    const QueryKind& kind = kQueryKinds[sent.kind];
+    const double aim = static_cast<double>(kind.aim) + kind.runtime_factor * sent.work / kind.threads;
+    const bool in_time = static_cast<double>(now_ - sent.at) <= aim;
+    result_.value += in_time ? kind.value : kind.value * kind.late_worth;
+    if (sent.kind == 2 && in_time) result_.loads_in_target += 1;
   }
 
   const Day& day_;
@@ -311,10 +313,10 @@
   Reducer reducer_;
   TimeUs now_ = kStart;
   RequestTag last_tag_ = 0;
-  std::unordered_map<RequestTag, Asked> asked_;
-  std::map<std::string, Running> running_;
+  std::unordered_map<RequestTag, SentRequest> sent_;
+  std::map<std::string, RunningQuery> running_;
   std::map<EngineId, int> numbers_;
-  std::vector<Event> later_;
+  std::vector<Event> pending_events_;
   Result result_;
 };
 
@@ -339,15 +341,15 @@
     for (const bool levels : {false, true}) {
       Result sum;
       for (unsigned seed = 1; seed <= kSeeds; ++seed) {
-        const Result r = Play(day, levels, seed).run();
-        sum.offered += r.offered, sum.worth += r.worth, sum.loads += r.loads,
-            sum.loads_in_aim += r.loads_in_aim;
+        const Result r = DaySimulation(day, levels, seed).run();
+        sum.offered += r.offered, sum.value += r.value, sum.loads += r.loads,
+            sum.loads_in_target += r.loads_in_target;
         sum.refused += r.refused, sum.shed += r.shed, sum.failed += r.failed, sum.changes += r.changes;
       }
       std::cout << std::left << std::setw(33) << day.name << std::setw(8) << (levels ? "with" : "without")
-                << std::setw(15) << sum.worth / sum.offered << std::setw(14) << sum.loads_in_aim / sum.loads
-                << std::setw(9) << sum.refused / kSeeds << std::setw(6) << sum.shed / kSeeds << std::setw(8)
-                << sum.failed / kSeeds << sum.changes / kSeeds << '\n';
+                << std::setw(15) << sum.value / sum.offered << std::setw(14)
+                << sum.loads_in_target / sum.loads << std::setw(9) << sum.refused / kSeeds << std::setw(6)
+                << sum.shed / kSeeds << std::setw(8) << sum.failed / kSeeds << sum.changes / kSeeds << '\n';
     }
   }
 }
--- a/bench/store_sizes.cpp
+++ b/bench/store_sizes.cpp
@@ -16,13 +16,13 @@
 using namespace orchidgw;
 using Clock = std::chrono::steady_clock;
 
-constexpr std::size_t kBytes = std::size_t{2} * 1024 * 1024 * 1024;
+constexpr std::size_t kStoreBytes = std::size_t{2} * 1024 * 1024 * 1024;
 
 double seconds_since(Clock::time_point from) {
   return std::chrono::duration<double>(Clock::now() - from).count();
 }
 
-std::string entry(std::uint64_t n) {
+std::string make_entry(std::uint64_t n) {
   fleet::Entry out;
   const std::string identity = "key " + std::to_string(1'000'000'000'000'000 + n);
   promises::KeyAsk& ask = out.keys.asks.emplace_back();
@@ -40,35 +40,36 @@
   std::string folder = (std::filesystem::temp_directory_path() / "orchidgw-sizes-XXXXXX").string();
   if (mkdtemp(folder.data()) == nullptr) return 1;
   std::cout << std::fixed;
-  for (const std::uint64_t together : {1, 16, 256}) {
-    store::LmdbStore store(folder, kBytes);
+  for (const std::uint64_t batch_size : {1, 16, 256}) {
+    store::LmdbStore store(folder, kStoreBytes);
     std::uint64_t at = store.load().first + store.load().entries.size();
     const auto from = Clock::now();
-    std::uint64_t taken = 0;
-    for (; seconds_since(from) < 2; taken += together, at += together) {
+    std::uint64_t written = 0;
+    for (; seconds_since(from) < 2; written += batch_size, at += batch_size) {
       std::vector<store::StoredEntry> entries;
-      for (std::uint64_t k = 0; k < together; ++k)
-        entries.push_back({1, store::kCommandEntry, entry(at + k)});
+      for (std::uint64_t k = 0; k < batch_size; ++k)
+        entries.push_back({1, store::kCommandEntry, make_entry(at + k)});
       store.append(at, std::move(entries));
       store.commit();
     }
-    std::cout << "committed together " << together << ": " << std::setprecision(0)
-              << static_cast<double>(taken) / seconds_since(from) << " records a second" << std::endl;
+    std::cout << "committed together " << batch_size << ": " << std::setprecision(0)
+              << static_cast<double>(written) / seconds_since(from) << " records a second" << std::endl;
   }
   for (const std::uint64_t size : {10'000, 100'000, 1'000'000}) {
     std::filesystem::remove_all(folder);
     std::filesystem::create_directory(folder);
     {
-      store::LmdbStore store(folder, kBytes);
+      store::LmdbStore store(folder, kStoreBytes);
       for (std::uint64_t at = 1; at <= size; at += 1'000) {
         std::vector<store::StoredEntry> entries;
-        for (std::uint64_t k = 0; k < 1'000; ++k) entries.push_back({1, store::kCommandEntry, entry(at + k)});
+        for (std::uint64_t k = 0; k < 1'000; ++k)
+          entries.push_back({1, store::kCommandEntry, make_entry(at + k)});
         store.append(at, std::move(entries));
         store.commit();
       }
     }
     const auto from = Clock::now();
-    store::LmdbStore store(folder, kBytes);
+    store::LmdbStore store(folder, kStoreBytes);
     const store::Stored found = store.load();
     const double loaded = seconds_since(from);
     fleet::State state;
--- a/tests/fleet/auditor.cpp
+++ b/tests/fleet/auditor.cpp
@@ -12,7 +12,7 @@
   char plus = 0;
   char slash = 0;
   std::istringstream in(text);
-  return static_cast<bool>(in >> part.lease >> plus >> part.cut_off >> slash >> part.whole) && plus == '+' &&
+  return static_cast<bool>(in >> part.lease >> plus >> part.cut_off >> slash >> part.total) && plus == '+' &&
          slash == '/';
 }
 
@@ -47,12 +47,12 @@
     if (!in || word != "revision") continue;
     std::string part;
     while (in >> word >> part && read_part(part, line.parts[word])) continue;
-    std::erase_if(line.parts, [](const auto& one) { return one.second.whole == 0; });
+    std::erase_if(line.parts, [](const auto& one) { return one.second.total == 0; });
     out.push_back(std::move(line));
   }
 }
 
-Audit audit(const std::vector<ProcessRecord>& records, int largest) {
+Audit audit(const std::vector<ProcessRecord>& records, int max_controllers) {
   Audit out;
   std::set<std::int64_t> moments;  // the sum rises only where a line begins
   std::map<std::string, LeaseLine::Part> allowances;
@@ -61,7 +61,7 @@
       moments.insert(line.from);
       for (const auto& [name, part] : line.parts) {
         LeaseLine::Part& known = allowances[name];
-        known.whole = std::max(known.whole, part.whole);
+        known.total = std::max(known.total, part.total);
         known.cut_off = std::max(known.cut_off, part.cut_off);
       }
     }
@@ -69,18 +69,18 @@
   for (const std::int64_t at : moments) {
     for (const auto& [name, terms] : allowances) {
       std::int64_t sum = 0;
-      int there = 0;
+      int present = 0;
       for (const ProcessRecord& record : records) {
         const std::int64_t part = usable(record, name, at);
         if (part < 0) continue;
-        ++there;
+        ++present;
         sum += part;
       }
-      sum += std::max(largest - there, 0) * terms.cut_off;
-      out.most[name] = std::max(out.most[name], sum);
-      if (sum > terms.whole && out.fault.empty())
-        out.fault = name + ": " + std::to_string(sum) + " of " + std::to_string(terms.whole) + " at " +
-                    std::to_string(at);
+      sum += std::max(max_controllers - present, 0) * terms.cut_off;
+      out.largest_sums[name] = std::max(out.largest_sums[name], sum);
+      if (sum > terms.total && out.violation.empty())
+        out.violation = name + ": " + std::to_string(sum) + " of " + std::to_string(terms.total) + " at " +
+                        std::to_string(at);
     }
     ++out.moments;
   }
--- a/tests/fleet/auditor.h
+++ b/tests/fleet/auditor.h
@@ -14,7 +14,7 @@
   struct Part {
     std::int64_t lease = 0;
     std::int64_t cut_off = 0;
-    std::int64_t whole = 0;
+    std::int64_t total = 0;
   };
   std::uint64_t number = 0;
   std::int64_t from = 0;   // us, CLOCK_BOOTTIME
@@ -34,12 +34,12 @@
 };
 
 struct Audit {
-  std::string fault;                         // empty: the sum held at every moment
-  std::size_t moments = 0;                   // looked at
-  std::map<std::string, std::int64_t> most;  // the largest sum seen, by allowance
+  std::string violation;                             // empty: the sum held at every moment
+  std::size_t moments = 0;                           // looked at
+  std::map<std::string, std::int64_t> largest_sums;  // the largest sum seen, by allowance
 };
 
 // `largest`: controllers there may be; those that are not there count with their cut-off part.
-Audit audit(const std::vector<ProcessRecord>& records, int largest);
+Audit audit(const std::vector<ProcessRecord>& records, int max_controllers);
 
 }  // namespace orchidgw::integration
--- a/tests/fleet/fleet_harness.cpp
+++ b/tests/fleet/fleet_harness.cpp
@@ -16,7 +16,7 @@
 namespace orchidgw::integration {
 namespace {
 
-constexpr auto kLongTime = std::chrono::seconds(60);
+constexpr auto kWaitTimeout = std::chrono::seconds(60);
 constexpr int kEngines = 2;
 constexpr auto kThinkTime = std::chrono::milliseconds(10);  // of a client that was not served
 constexpr int kDriftPercent = 5;
@@ -25,7 +25,7 @@
 
 }  // namespace
 
-std::int64_t boot_us() {
+std::int64_t boot_time_us() {
   timespec at{};
   clock_gettime(CLOCK_BOOTTIME, &at);
   return static_cast<std::int64_t>(at.tv_sec) * 1'000'000 + at.tv_nsec / 1000;
@@ -41,23 +41,24 @@
     std::filesystem::create_directory(directory_ + "/store-" + std::to_string(k));
   }
   for (int i = 0; i < shape.controllers; ++i)
-    for (int k = 0; shape.relays && k < shape.keepers; ++k)
+    for (int k = 0; shape.use_relays && k < shape.keepers; ++k)
       if (i != k) relays_[{i, k}] = std::make_unique<Relay>(keeper_addresses_[static_cast<std::size_t>(k)]);
   for (int e = 0; e < kEngines; ++e)
-    engines_.push_back(std::make_unique<HttpStandIn>([this](const HttpCall& call) { return engine(call); }));
+    engines_.push_back(
+        std::make_unique<HttpStandIn>([this](const HttpCall& call) { return answer_engine_call(call); }));
 }
 
 FleetHarness::~FleetHarness() {
   hold_engines(false);
-  for (const auto& [i, stopped] : stopped_)
-    if (stopped && processes_.contains(i)) processes_.at(i)->signal(SIGCONT);
+  for (const auto& [i, paused] : paused_)
+    if (paused && processes_.contains(i)) processes_.at(i)->signal(SIGCONT);
   stop_traffic();
   processes_.clear();
   std::filesystem::remove_all(directory_);
 }
 
 // Counts what it admits, and serves it a few milliseconds later.
-HttpReply FleetHarness::engine(const HttpCall& call) {
+HttpReply FleetHarness::answer_engine_call(const HttpCall& call) {
   HttpReply reply;
   if (call.method != "POST") {
     reply.status = 204;
@@ -65,17 +66,17 @@
   }
   if (call.body.find(kOnceTable) != std::string::npos) {
     std::unique_lock lock(engine_mutex_);
-    starts_[call.headers.at("Call-Id")].push_back(boot_us());
+    starts_[call.headers.at("Call-Id")].push_back(boot_time_us());
     engine_changed_.notify_all();
-    engine_changed_.wait(lock, [this] { return !hold_; });
+    engine_changed_.wait(lock, [this] { return !engines_held_; });
   }
   std::string tenant;  // each client asks for a table of its tenant's
   for (const std::string& one : shape_.tenants)
     if (call.body.find(" " + one + ".") != std::string::npos) tenant = one;
   {
     const std::lock_guard lock(engine_mutex_);
-    admitted_at_[tenant].push_back(boot_us());
-    most_running_ = std::max(most_running_, ++running_[tenant]);
+    admitted_at_[tenant].push_back(boot_time_us());
+    max_running_ = std::max(max_running_, ++running_[tenant]);
   }
   std::this_thread::sleep_for(std::chrono::milliseconds(5));  // its work
   {
@@ -95,8 +96,8 @@
 
 std::string FleetHarness::fleet_file(int i) const {
   std::ostringstream out;
-  out << "version: 1\nfleet: {name: test, number: " << number_ << "}\nrevision: " << revision_
-      << "\nlargest: " << shape_.largest << "\nlease: {term: " << shape_.term_ms
+  out << "version: 1\nfleet: {name: test, number: " << fleet_number_ << "}\nrevision: " << revision_
+      << "\nlargest: " << shape_.max_controllers << "\nlease: {term: " << shape_.term_ms
       << "ms, drift: " << kDriftPercent << "%}\ndivision: {cut_off: 25%, reserve: " << kReservePpm / 10'000
       << "%, least: 20%}\nkeepers:\n";
   for (const int k : keepers_) {
@@ -106,8 +107,8 @@
                                    : relay->second->address())
         << "'}\n";
   }
-  if (shape_.keys_rest_ms > 0) out << "keys: {scope: fleet}\n";
-  if (shape_.careful) out << "bad_store: careful\n";
+  if (shape_.key_hold_ms > 0) out << "keys: {scope: fleet}\n";
+  if (shape_.start_with_bad_store) out << "bad_store: careful\n";
   if (shape_.ramp_ms > 0) out << "return: {ramp: " << shape_.ramp_ms << "ms}\n";
   if (i < shape_.keepers) out << "store: " << directory_ << "/store-" << i << "\n";
   out << "...\n";
@@ -115,8 +116,8 @@
 }
 
 std::string FleetHarness::limits_file() const {
-  const char* scope = shape_.fleet ? "fleet" : "controller";
-  const int among = shape_.fleet ? 1 : shape_.controllers;
+  const char* scope = shape_.use_fleet ? "fleet" : "controller";
+  const int among = shape_.use_fleet ? 1 : shape_.controllers;
   std::ostringstream out;
   out << "version: 1\nlog: {components: {fleet: debug}}\nroutes:\n";
   for (const std::string& tenant : shape_.tenants)
@@ -132,15 +133,15 @@
   std::vector<std::string> out;
   for (std::size_t e = 0; e < engines_.size(); ++e)
     out.push_back(member("s-" + std::to_string(e), engines_[e]->address(),
-                         engines_there_ ? "in_service" : "terminated", engines_since_ms_));
+                         engines_listed_ ? "in_service" : "terminated", engines_started_ms_));
   return out;
 }
 
-void FleetHarness::list_engines(bool there) {
-  engines_there_ = there;
-  engines_since_ms_ = std::chrono::duration_cast<std::chrono::milliseconds>(
-                          std::chrono::system_clock::now().time_since_epoch())
-                          .count();
+void FleetHarness::list_engines(bool listed) {
+  engines_listed_ = listed;
+  engines_started_ms_ = std::chrono::duration_cast<std::chrono::milliseconds>(
+                            std::chrono::system_clock::now().time_since_epoch())
+                            .count();
   std::string all;
   for (const std::string& one : members()) all += (all.empty() ? "" : ",") + one;
   change_log_.tell(all);
@@ -152,51 +153,51 @@
   options.change_log = change_log_.address();
   options.members = members();
   options.tenants = shape_.tenants;
-  if (shape_.keys_rest_ms > 0) options.once_deadline_us = shape_.keys_rest_ms * 1'000L;
+  if (shape_.key_hold_ms > 0) options.once_deadline_us = shape_.key_hold_ms * 1'000L;
   options.limits = limits_file();
   options.words = {"--admin", directory_ + "/" + options.name + ".sock"};
-  if (shape_.intents) {
+  if (shape_.store_intents) {
     const std::string folder = directory_ + "/intents-" + std::to_string(i);
     std::filesystem::create_directories(folder);
     options.words.insert(options.words.end(), {"--intents", folder});
   }
-  if (shape_.fleet) {
+  if (shape_.use_fleet) {
     options.words.push_back("--fleet");
     options.words.push_back(write_file(options.name + ".fleet.yaml", fleet_file(i)));
   }
   options.on_output = [this] {
     const std::lock_guard lock(mutex_);
-    ++outputs_;
+    ++output_count_;
     changed_.notify_all();
   };
-  if (first_start_ == 0) first_start_ = boot_us();
+  if (first_start_ == 0) first_start_ = boot_time_us();
   auto process = std::make_unique<ControllerProcess>(options);
   const std::lock_guard lock(clients_mutex_);
   addresses_[i] = process->address();
   addresses_changed_.notify_all();
   processes_[i] = std::move(process);
-  stopped_[i] = false;
+  paused_[i] = false;
 }
 
 void FleetHarness::start_all() {
   for (int i = 0; i < shape_.controllers; ++i) start(i);
 }
 
-int FleetHarness::end(int i, int signal) {
+int FleetHarness::end_process(int i, int signal) {
   {
     const std::lock_guard lock(clients_mutex_);
     addresses_.erase(i);
   }
   at(i).signal(signal);
   const int code = at(i).wait_exit();
-  ended_.push_back({"c" + std::to_string(i), boot_us(), lease_lines(at(i).log())});
+  ended_processes_.push_back({"c" + std::to_string(i), boot_time_us(), lease_lines(at(i).log())});
   processes_.erase(i);
   return code;
 }
 
-void FleetHarness::kill(int i) { end(i, SIGKILL); }
+void FleetHarness::kill(int i) { end_process(i, SIGKILL); }
 
-int FleetHarness::stop(int i) { return end(i, SIGTERM); }
+int FleetHarness::stop(int i) { return end_process(i, SIGTERM); }
 
 void FleetHarness::kill_all() {
   std::vector<int> all;
@@ -204,11 +205,11 @@
     process->signal(SIGKILL);
     all.push_back(i);
   }
-  for (const int i : all) end(i, SIGKILL);
+  for (const int i : all) end_process(i, SIGKILL);
 }
 
 std::pair<int, std::string> FleetHarness::recover(int i, const std::vector<std::string>& words) {
-  if (number_ == 7) ++number_;
+  if (fleet_number_ == 7) ++fleet_number_;
   keepers_ = {i};
   const std::string name = "c" + std::to_string(i);
   std::vector<std::string> line = {"fleet", "recover", "--fleet",
@@ -226,12 +227,12 @@
   std::filesystem::copy(store(i), store(i) + "-copy", std::filesystem::copy_options::recursive);
 }
 
-void FleetHarness::put_back_store(int i) {
+void FleetHarness::restore_store(int i) {
   std::filesystem::remove_all(store(i));
   std::filesystem::rename(store(i) + "-copy", store(i));
 }
 
-std::string FleetHarness::say_start(int i) {
+std::string FleetHarness::start_error(int i) {
   try {
     start(i);
   } catch (const std::exception& e) {
@@ -247,20 +248,20 @@
 
 void FleetHarness::pause(int i) {
   at(i).signal(SIGSTOP);
-  stopped_[i] = true;
+  paused_[i] = true;
 }
 
-void FleetHarness::go_on(int i) {
+void FleetHarness::resume(int i) {
   at(i).signal(SIGCONT);
-  stopped_[i] = false;
+  paused_[i] = false;
 }
 
-void FleetHarness::cut_off(int i, Relay::Fault fault) {
-  for (auto& [way, relay] : relays_)
-    if (way.first == i || way.second == i) relay->set(fault);
+void FleetHarness::set_link_fault(int i, Relay::Fault fault) {
+  for (auto& [link, relay] : relays_)
+    if (link.first == i || link.second == i) relay->set(fault);
 }
 
-void FleetHarness::change(const FleetShape& shape, int revision, int first) {
+void FleetHarness::reconfigure(const FleetShape& shape, int revision, int first) {
   shape_ = shape;
   revision_ = revision;
   for (const auto& [i, process] : processes_) {
@@ -273,34 +274,35 @@
 
 // Looks again whenever a process has written something.
 bool FleetHarness::wait_until(const std::function<bool()>& holds) {
-  const auto until = std::chrono::steady_clock::now() + kLongTime;
+  const auto until = std::chrono::steady_clock::now() + kWaitTimeout;
   while (std::chrono::steady_clock::now() < until) {
     std::uint64_t seen = 0;
     {
       const std::lock_guard lock(mutex_);
-      seen = outputs_;
+      seen = output_count_;
     }
     if (holds()) return true;
     std::unique_lock lock(mutex_);
-    changed_.wait_until(lock, until, [&] { return outputs_ != seen; });
+    changed_.wait_until(lock, until, [&] { return output_count_ != seen; });
   }
   return false;
 }
 
-bool FleetHarness::wait_divided(const std::vector<int>& among) {
+bool FleetHarness::wait_fully_leased(const std::vector<int>& among) {
   return wait_until([&] {
     std::map<std::string, std::int64_t> sums;
     std::map<std::string, LeaseLine::Part> terms;
     for (const int i : among) {
       const auto lines = lease_lines(at(i).log());
       const bool runs =
-          !lines.empty() && lines.back().until > boot_us() && lines.back().until > lines.back().from;
+          !lines.empty() && lines.back().until > boot_time_us() && lines.back().until > lines.back().from;
       if (!runs) return false;
       for (const auto& [name, part] : lines.back().parts) sums[name] += part.lease, terms[name] = part;
     }
     return !sums.empty() && std::all_of(sums.begin(), sums.end(), [&](const auto& one) {
       const LeaseLine::Part& part = terms[one.first];
-      return one.second == part.whole - shape_.largest * part.cut_off - part.whole * kReservePpm / 1'000'000;
+      return one.second ==
+             part.total - shape_.max_controllers * part.cut_off - part.total * kReservePpm / 1'000'000;
     });
   });
 }
@@ -309,7 +311,7 @@
   return wait_until([&] { return at(i).log().find(part) != std::string::npos; });
 }
 
-long FleetHarness::keys_given(int keeper) {
+long FleetHarness::granted_key_count(int keeper) {
   const std::string status = net::ask_admin(admin(keeper), "fleet status\n");
   const std::string before = " given ";  // in the keeper's line
   const auto line = status.find("keys rest ");
@@ -317,10 +319,10 @@
   return at == std::string::npos ? -1 : std::stol(status.substr(at + before.size()));
 }
 
-bool FleetHarness::wait_keys_given(int keeper, long more_than) {
-  const auto until = std::chrono::steady_clock::now() + kLongTime;
+bool FleetHarness::wait_granted_keys(int keeper, long more_than) {
+  const auto until = std::chrono::steady_clock::now() + kWaitTimeout;
   while (std::chrono::steady_clock::now() < until) {
-    if (keys_given(keeper) > more_than) return true;
+    if (granted_key_count(keeper) > more_than) return true;
     std::this_thread::sleep_for(std::chrono::milliseconds(5));
   }
   return false;
@@ -333,7 +335,7 @@
       const std::string log = process->log();
       const auto leads = log.rfind("this keeper leads now");
       const auto no_more = log.rfind("this keeper leads no more");
-      if (!stopped_[i] && leads != std::string::npos && (no_more == std::string::npos || no_more < leads))
+      if (!paused_[i] && leads != std::string::npos && (no_more == std::string::npos || no_more < leads))
         found = i;
     }
     return found >= 0;
@@ -341,21 +343,21 @@
   return found;
 }
 
-std::int64_t FleetHarness::newest_part(int i, const std::string& allowance) {
+std::int64_t FleetHarness::newest_lease_part(int i, const std::string& allowance) {
   const auto lines = lease_lines(at(i).log());
   return lines.empty() ? -1 : lines.back().parts.at(allowance).lease;
 }
 
 // One client of controller i: asks again as soon as it has its answer, whoever the process is by then.
-void FleetHarness::ask_on(int i, const std::string& tenant) {
+void FleetHarness::run_client(int i, const std::string& tenant) {
   std::unique_ptr<FrontClient> client;
   std::string address;
   std::int32_t tag = 0;
-  while (asking_) {
+  while (clients_running_) {
     {
       std::unique_lock lock(clients_mutex_);
-      addresses_changed_.wait(lock, [&] { return !asking_ || addresses_.contains(i); });
-      if (!asking_) return;
+      addresses_changed_.wait(lock, [&] { return !clients_running_ || addresses_.contains(i); });
+      if (!clients_running_) return;
       if (addresses_.at(i) != address) client.reset();
       address = addresses_.at(i);
     }
@@ -374,7 +376,7 @@
     if (answer.kind != FrontAnswer::Kind::kServed) std::this_thread::sleep_for(kThinkTime);
     const std::lock_guard lock(clients_mutex_);
     ++counts_.asked;
-    asked_at_.push_back(boot_us());
+    asked_at_.push_back(boot_time_us());
     addresses_changed_.notify_all();
     if (answer.kind == FrontAnswer::Kind::kServed)
       ++counts_.served;
@@ -387,19 +389,20 @@
   }
 }
 
-void FleetHarness::traffic(int first_has) {
+void FleetHarness::start_traffic(int first_multiplier) {
   constexpr int kClientsEach = 3;
-  asking_ = true;
+  clients_running_ = true;
   for (int i = 0; i < shape_.controllers; ++i)
-    for (int n = 0; n < kClientsEach * (i == 0 ? first_has : 1); ++n)
-      clients_.emplace_back(
-          [this, i, n] { ask_on(i, shape_.tenants[static_cast<std::size_t>(n) % shape_.tenants.size()]); });
+    for (int n = 0; n < kClientsEach * (i == 0 ? first_multiplier : 1); ++n)
+      clients_.emplace_back([this, i, n] {
+        run_client(i, shape_.tenants[static_cast<std::size_t>(n) % shape_.tenants.size()]);
+      });
 }
 
 FleetHarness::Counts FleetHarness::stop_traffic() {
   {
     const std::lock_guard lock(clients_mutex_);
-    asking_ = false;
+    clients_running_ = false;
     addresses_changed_.notify_all();
   }
   for (auto& client : clients_) client.join();
@@ -414,22 +417,22 @@
 
 bool FleetHarness::wait_starts(const std::string& reference, std::size_t n) {
   std::unique_lock lock(engine_mutex_);
-  return engine_changed_.wait_for(lock, kLongTime, [&] { return starts_[reference].size() >= n; });
+  return engine_changed_.wait_for(lock, kWaitTimeout, [&] { return starts_[reference].size() >= n; });
 }
 
 void FleetHarness::hold_engines(bool on) {
   const std::lock_guard lock(engine_mutex_);
-  hold_ = on;
+  engines_held_ = on;
   engine_changed_.notify_all();
 }
 
-void FleetHarness::ask_once(FrontClient& client, std::int32_t tag, const std::string& reference) {
+void FleetHarness::send_once_request(FrontClient& client, std::int32_t tag, const std::string& reference) {
   client.invoke(tag,
                 {{"service", "once"}, {"ref", reference}, {"allow", "1500"}, {"project", shape_.tenants[0]}},
                 std::string("insert into ") + kOnceTable);
 }
 
-std::pair<std::vector<std::int64_t>, std::vector<std::int64_t>> FleetHarness::times() {
+std::pair<std::vector<std::int64_t>, std::vector<std::int64_t>> FleetHarness::event_times() {
   const std::lock_guard clients(clients_mutex_);
   const std::lock_guard engines(engine_mutex_);
   std::vector<std::int64_t> admitted;
@@ -439,7 +442,7 @@
 
 bool FleetHarness::wait_answered(long Counts::*kind, long more) {
   std::unique_lock lock(clients_mutex_);
-  return addresses_changed_.wait_for(lock, kLongTime,
+  return addresses_changed_.wait_for(lock, kWaitTimeout,
                                      [&, until = counts_.*kind + more] { return counts_.*kind >= until; });
 }
 
@@ -454,13 +457,13 @@
   return sum;
 }
 
-int FleetHarness::most_running() {
+int FleetHarness::max_running() {
   const std::lock_guard lock(engine_mutex_);
-  return most_running_;
+  return max_running_;
 }
 
 // Counted from the first start: an arrival that comes late on a slow machine is never too early for it.
-bool FleetHarness::rate_held(double burst) {
+bool FleetHarness::rate_within_limit(double burst) {
   const std::lock_guard lock(engine_mutex_);
   for (const auto& [tenant, at] : admitted_at_)
     for (std::size_t n = 0; n < at.size(); ++n) {
@@ -471,10 +474,10 @@
 }
 
 Audit FleetHarness::audit() {
-  std::vector<ProcessRecord> records = ended_;
+  std::vector<ProcessRecord> records = ended_processes_;
   for (const auto& [i, process] : processes_)
     records.push_back({"c" + std::to_string(i), 0, lease_lines(process->log())});
-  return integration::audit(records, shape_.largest);
+  return integration::audit(records, shape_.max_controllers);
 }
 
 }  // namespace orchidgw::integration
--- a/tests/fleet/fleet_keys_test.cpp
+++ b/tests/fleet/fleet_keys_test.cpp
@@ -16,14 +16,14 @@
 
 using Kind = FrontAnswer::Kind;
 
-constexpr int kRestMs = 2'000;
+constexpr int kKeyHoldMs = 2'000;
 
 FleetShape shape_of(int controllers, int keepers) {
   FleetShape out;
   out.controllers = controllers;
   out.keepers = keepers;
   out.term_ms = 600;
-  out.keys_rest_ms = kRestMs;
+  out.key_hold_ms = kKeyHoldMs;
   return out;
 }
 
@@ -37,41 +37,41 @@
   // Until it lets in what must not run twice: it has a lease, and no key of a lost log may rest.
   void ready(int i) {
     ASSERT_TRUE(fleet->wait_line(i, "leased component")) << i;
-    EXPECT_EQ(ask_until_taken(i, "f00000000000000" + std::to_string(i)), Kind::kServed);
+    EXPECT_EQ(ask_until_accepted(i, "f00000000000000" + std::to_string(i)), Kind::kServed);
   }
   // One query on a connection of its own.
   Kind ask(int i, const std::string& reference) {
     FrontClient client(fleet->address(i));
-    fleet->ask_once(client, 1, reference);
+    fleet->send_once_request(client, 1, reference);
     return client.receive().kind;
   }
-  Kind ask_until_taken(int i, const std::string& reference) {
+  Kind ask_until_accepted(int i, const std::string& reference) {
     Kind kind = ask(i, reference);
-    for (; kind == Kind::kRefused; kind = ask(i, reference)) client_pause();
+    for (; kind == Kind::kRefused; kind = ask(i, reference)) pause_client();
     return kind;
   }
   // So many, one after the other.
-  void serve_at_3(int loads) {
+  void serve_loads_at_3(int loads) {
     for (int n = 0; n < loads; ++n) {
-      last = std::to_string(3'000'000'000'000'000 + n);
-      ASSERT_EQ(ask_until_taken(3, last), Kind::kServed) << n;
+      last_load = std::to_string(3'000'000'000'000'000 + n);
+      ASSERT_EQ(ask_until_accepted(3, last_load), Kind::kServed) << n;
     }
   }
   // Of three keepers two are left: the last of those loads rests, another one is served.
-  void expect_known_without_keeper_0() {
+  void expect_key_held_without_keeper_0() {
     fleet->kill(0);
     fleet->lose_store(0);
-    EXPECT_EQ(ask_until_taken(1, last), Kind::kFailed);
-    EXPECT_EQ(fleet->starts()[last].size(), 1U);
-    EXPECT_EQ(ask_until_taken(2, "00000000000000a2"), Kind::kServed);
-    EXPECT_EQ(fleet->audit().fault, "");
+    EXPECT_EQ(ask_until_accepted(1, last_load), Kind::kFailed);
+    EXPECT_EQ(fleet->starts()[last_load].size(), 1U);
+    EXPECT_EQ(ask_until_accepted(2, "00000000000000a2"), Kind::kServed);
+    EXPECT_EQ(fleet->audit().violation, "");
   }
-  static void client_pause() { std::this_thread::sleep_for(std::chrono::milliseconds(5)); }
+  static void pause_client() { std::this_thread::sleep_for(std::chrono::milliseconds(5)); }
   std::optional<FleetHarness> fleet;
-  std::string last;
+  std::string last_load;
 };
 
-const std::string kLoad = "00000000000000a1";
+const std::string kLoadReference = "00000000000000a1";
 
 // Two controllers, one whole: what one has sent the other does not send, through a kill of the one.
 TEST_F(FleetKeys, WhatOneControllerSentNoOtherSendsThroughAKill) {
@@ -79,28 +79,28 @@
   fleet->hold_engines(true);
   {
     FrontClient client(fleet->address(1));
-    fleet->ask_once(client, 1, kLoad);
-    ASSERT_TRUE(fleet->wait_starts(kLoad, 1));
-    EXPECT_EQ(ask(0, kLoad), Kind::kFailed);  // no refusal: it would call another try harmless
+    fleet->send_once_request(client, 1, kLoadReference);
+    ASSERT_TRUE(fleet->wait_starts(kLoadReference, 1));
+    EXPECT_EQ(ask(0, kLoadReference), Kind::kFailed);  // no refusal: it would call another try harmless
     fleet->kill(1);
   }
-  EXPECT_EQ(ask(0, kLoad), Kind::kFailed);
+  EXPECT_EQ(ask(0, kLoadReference), Kind::kFailed);
   fleet->start(1);
-  EXPECT_EQ(ask_until_taken(1, kLoad), Kind::kFailed);  // another start of the same controller
+  EXPECT_EQ(ask_until_accepted(1, kLoadReference), Kind::kFailed);  // another start of the same controller
   fleet->hold_engines(false);
   EXPECT_EQ(ask(0, "00000000000000a2"), Kind::kServed);
-  EXPECT_EQ(fleet->starts()[kLoad].size(), 1U);
+  EXPECT_EQ(fleet->starts()[kLoadReference].size(), 1U);
 }
 
 TEST_F(FleetKeys, AKeyIsFreeAgainAfterItsRestAndNotBefore) {
   begin(shape_of(2, 1));
-  EXPECT_EQ(ask(1, kLoad), Kind::kServed);
+  EXPECT_EQ(ask(1, kLoadReference), Kind::kServed);
   Kind kind = Kind::kFailed;
-  for (; kind == Kind::kFailed; kind = ask(0, kLoad)) client_pause();
+  for (; kind == Kind::kFailed; kind = ask(0, kLoadReference)) pause_client();
   EXPECT_EQ(kind, Kind::kServed);
-  const auto starts = fleet->starts()[kLoad];
+  const auto starts = fleet->starts()[kLoadReference];
   ASSERT_EQ(starts.size(), 2U);
-  EXPECT_GE(starts[1] - starts[0], kRestMs * 1'000);
+  EXPECT_GE(starts[1] - starts[0], kKeyHoldMs * 1'000);
 }
 
 // A keeper agrees on a key whose query was refused meanwhile, for want of an answer; the word that it is free
@@ -109,32 +109,32 @@
   FleetShape shape = shape_of(2, 1);
   shape.term_ms = 2'400;  // a promise is waited for half of it: less than the client waits
   begin(shape);
-  Relay& way = fleet->relay(1, 0);
+  Relay& relay = fleet->relay(1, 0);
   FrontClient client(fleet->address(1));
-  way.set(Relay::Fault::kHoldBack);
-  const long given = fleet->keys_given(0);
-  fleet->ask_once(client, 1, kLoad);
-  ASSERT_TRUE(fleet->wait_keys_given(0, given));
-  way.set(Relay::Fault::kHold);
+  relay.set(Relay::Fault::kHoldBackward);
+  const long given = fleet->granted_key_count(0);
+  fleet->send_once_request(client, 1, kLoadReference);
+  ASSERT_TRUE(fleet->wait_granted_keys(0, given));
+  relay.set(Relay::Fault::kHold);
   EXPECT_EQ(client.receive().kind, Kind::kRefused);
-  way.set(Relay::Fault::kCut);
-  EXPECT_EQ(FrontClient(way.address()).receive().kind, Kind::kClosed);  // it has cut what was there
-  way.set(Relay::Fault::kNone);
-  EXPECT_EQ(ask_until_taken(1, kLoad), Kind::kServed);
-  EXPECT_EQ(fleet->starts()[kLoad].size(), 1U);
+  relay.set(Relay::Fault::kReset);
+  EXPECT_EQ(FrontClient(relay.address()).receive().kind, Kind::kClosed);  // it has cut what was there
+  relay.set(Relay::Fault::kNone);
+  EXPECT_EQ(ask_until_accepted(1, kLoadReference), Kind::kServed);
+  EXPECT_EQ(fleet->starts()[kLoadReference].size(), 1U);
 }
 
 // A keeper, then the leading one with its disk, are lost while the key rests: the rest of them know.
 TEST_F(FleetKeys, TheLeaderAndItsDiskAreLostAndTheKeyIsKnown) {
   begin(shape_of(4, 3));
-  EXPECT_EQ(ask(3, kLoad), Kind::kServed);
+  EXPECT_EQ(ask(3, kLoadReference), Kind::kServed);
   const int leader = fleet->leader();
   fleet->kill(leader);
   fleet->lose_store(leader);
   const int other = leader == 0 ? 1 : 0;
   ASSERT_GE(fleet->leader(), 0);
-  EXPECT_EQ(ask_until_taken(other, kLoad), Kind::kFailed);
-  EXPECT_EQ(fleet->starts()[kLoad].size(), 1U);
+  EXPECT_EQ(ask_until_accepted(other, kLoadReference), Kind::kFailed);
+  EXPECT_EQ(fleet->starts()[kLoadReference].size(), 1U);
 }
 
 // A keeper is away while more is promised than the log keeps behind its snapshot; it comes back, one of the
@@ -142,10 +142,10 @@
 TEST_F(FleetKeys, AKeeperThatComesBackLateCatchesUpAndCountsAsACopy) {
   begin(shape_of(4, 3));
   fleet->kill(2);
-  ASSERT_NO_FATAL_FAILURE(serve_at_3(400));
+  ASSERT_NO_FATAL_FAILURE(serve_loads_at_3(400));
   fleet->start(2);
   ASSERT_TRUE(fleet->wait_line(2, "leased component"));
-  expect_known_without_keeper_0();
+  expect_key_held_without_keeper_0();
 }
 
 // A keeper's machine is set up again from a copy of its disk, and its fleet goes on meanwhile: the keeper
@@ -156,20 +156,20 @@
   fleet->copy_store(1);
   fleet->start(1);
   ASSERT_TRUE(fleet->wait_line(1, "leased component"));
-  ASSERT_NO_FATAL_FAILURE(serve_at_3(50));
+  ASSERT_NO_FATAL_FAILURE(serve_loads_at_3(50));
   fleet->kill(1);
-  fleet->put_back_store(1);
+  fleet->restore_store(1);
   fleet->start(1);
   ASSERT_TRUE(fleet->wait_line(1, "leased component"));
-  EXPECT_EQ(ask_until_taken(3, "00000000000000a3"), Kind::kServed);
-  expect_known_without_keeper_0();
+  EXPECT_EQ(ask_until_accepted(3, "00000000000000a3"), Kind::kServed);
+  expect_key_held_without_keeper_0();
 }
 
 // Two of three keepers are lost with their disks: an operator has the third go on alone, and is told before
 // what that may lose. What it knew to rest rests still, and what it could not know is waited out.
 TEST_F(FleetKeys, AnOperatorGoesOnFromOneCopyOfThree) {
   begin(shape_of(4, 3));
-  EXPECT_EQ(ask(3, kLoad), Kind::kServed);
+  EXPECT_EQ(ask(3, kLoadReference), Kind::kServed);
   fleet->kill_all();
   fleet->lose_store(1);
   fleet->lose_store(2);
@@ -183,10 +183,10 @@
   fleet->start_all();
   for (int i = 0; i < 4; ++i) ready(i);
   EXPECT_EQ(ask(2, "00000000000000a2"), Kind::kServed);
-  const auto starts = fleet->starts()[kLoad];
+  const auto starts = fleet->starts()[kLoadReference];
   ASSERT_EQ(starts.size(), 1U);
-  EXPECT_GE(fleet->starts()["00000000000000a2"][0] - starts[0], kRestMs * 1'000);
-  EXPECT_EQ(fleet->audit().fault, "");
+  EXPECT_GE(fleet->starts()["00000000000000a2"][0] - starts[0], kKeyHoldMs * 1'000);
+  EXPECT_EQ(fleet->audit().violation, "");
 }
 
 // No promise, no send: refused at once, which is harmless; what may run twice goes on.
@@ -194,15 +194,15 @@
   begin(shape_of(3, 1));
   fleet->relay(1, 0).set(Relay::Fault::kHold);
   EXPECT_EQ(ask(1, "00000000000000b1"), Kind::kRefused);
-  EXPECT_EQ(ask(2, kLoad), Kind::kServed);
+  EXPECT_EQ(ask(2, kLoadReference), Kind::kServed);
   FrontClient client(fleet->address(1));
   client.invoke(1);
   EXPECT_EQ(client.receive().kind, Kind::kServed);
   ASSERT_TRUE(fleet->wait_line(1, "no lease: the cut-off part alone is used"));
   EXPECT_EQ(ask(1, "00000000000000a2"), Kind::kRefused);
   fleet->relay(1, 0).set(Relay::Fault::kNone);
-  EXPECT_EQ(ask_until_taken(1, "00000000000000a2"), Kind::kServed);
-  EXPECT_EQ(fleet->starts()[kLoad].size(), 1U);
+  EXPECT_EQ(ask_until_accepted(1, "00000000000000a2"), Kind::kServed);
+  EXPECT_EQ(fleet->starts()[kLoadReference].size(), 1U);
 }
 
 // All are killed at one instant, again and again, and come back in another order, some pairs cut: clients ask
@@ -244,7 +244,7 @@
           Kind kind = Kind::kClosed;
           try {
             FrontClient client(at);
-            fleet->ask_once(client, 1, load);
+            fleet->send_once_request(client, 1, load);
             ++asked;
             kind = client.receive().kind;
           } catch (const std::exception&) {
@@ -258,7 +258,7 @@
             ++failed, ++known;
           } else {
             kind == Kind::kRefused ? ++refused : ++lost;
-            client_pause();
+            pause_client();
           }
         }
       }
@@ -268,13 +268,13 @@
   for (int loss = 0; loss < losses; ++loss) {
     const long before = served;
     // Each at another point of the service: after so many more loads were served.
-    while (served < before + 1 + loss % 7) client_pause();
+    while (served < before + 1 + loss % 7) pause_client();
     for (const int i : order) publish(i, "");
     fleet->kill_all();
     std::shuffle(order.begin(), order.end(), random);
     const int cut = static_cast<int>(random() % kControllers);
     for (int k = 0; k < 3; ++k)
-      if (k != cut && loss % 3 == 1) fleet->relay(cut, k).set(Relay::Fault::kCut);
+      if (k != cut && loss % 3 == 1) fleet->relay(cut, k).set(Relay::Fault::kReset);
     for (const int i : order) {
       fleet->start(i);
       publish(i, fleet->address(i));
@@ -291,7 +291,7 @@
   std::size_t all_starts = 0;
   for (const auto& [load, at] : starts) {
     all_starts += at.size();
-    for (std::size_t n = 1; n < at.size(); ++n) EXPECT_GE(at[n] - at[n - 1], kRestMs * 1'000) << load;
+    for (std::size_t n = 1; n < at.size(); ++n) EXPECT_GE(at[n] - at[n - 1], kKeyHoldMs * 1'000) << load;
   }
   for (const std::string& load : served_loads) EXPECT_TRUE(starts.contains(load)) << load;
   EXPECT_LE(served, static_cast<long>(all_starts));
--- a/tests/fleet/fleet_sizes.cpp
+++ b/tests/fleet/fleet_sizes.cpp
@@ -16,7 +16,7 @@
 
 using namespace orchidgw::integration;
 
-struct Figures {
+struct Samples {
   std::vector<double> values;
   void print(const char* what) {
     std::sort(values.begin(), values.end());
@@ -25,7 +25,7 @@
   }
 };
 
-double seconds_since(std::int64_t from) { return static_cast<double>(boot_us() - from) / 1e6; }
+double seconds_since(std::int64_t from) { return static_cast<double>(boot_time_us() - from) / 1e6; }
 
 std::vector<int> all_but(int n, int without = -1) {
   std::vector<int> out(static_cast<std::size_t>(n));
@@ -34,51 +34,51 @@
   return out;
 }
 
-void sizes(int controllers, int rounds) {
+void measure_size(int controllers, int rounds) {
   FleetShape shape;
   shape.controllers = controllers;
   shape.keepers = 3;
-  shape.largest = controllers + 1;
+  shape.max_controllers = controllers + 1;
   shape.term_ms = 3'000;
   shape.rate = 100 * controllers;
   shape.concurrency = 20 * controllers;
-  shape.relays = controllers <= 20;
+  shape.use_relays = controllers <= 20;
   FleetHarness fleet(shape);
   fleet.start_all();
-  if (!fleet.wait_divided(all_but(controllers))) std::cout << "never divided\n";
-  Figures part, join, kill, pause, cut, cpu, sent, bytes;
+  if (!fleet.wait_fully_leased(all_but(controllers))) std::cout << "never divided\n";
+  Samples part, join, kill, pause, cut, cpu, sent, bytes;
   const int last = controllers - 1;
   for (int round = 0; round < rounds; ++round) {
-    std::int64_t from = boot_us();
+    std::int64_t from = boot_time_us();
     fleet.kill(last);
-    fleet.wait_divided(all_but(controllers, last));
+    fleet.wait_fully_leased(all_but(controllers, last));
     kill.values.push_back(seconds_since(from));
-    from = boot_us();
+    from = boot_time_us();
     fleet.start(last);
     fleet.wait_line(last, "leased component=fleet");
     part.values.push_back(seconds_since(from));
-    fleet.wait_divided(all_but(controllers));
+    fleet.wait_fully_leased(all_but(controllers));
     join.values.push_back(seconds_since(from));
-    from = boot_us();
+    from = boot_time_us();
     fleet.pause(last);
-    fleet.wait_divided(all_but(controllers, last));
+    fleet.wait_fully_leased(all_but(controllers, last));
     pause.values.push_back(seconds_since(from));
-    fleet.go_on(last);
-    fleet.wait_divided(all_but(controllers));
-    if (!shape.relays) continue;
-    from = boot_us();
-    fleet.cut_off(last, Relay::Fault::kCut);
-    fleet.wait_divided(all_but(controllers, last));
+    fleet.resume(last);
+    fleet.wait_fully_leased(all_but(controllers));
+    if (!shape.use_relays) continue;
+    from = boot_time_us();
+    fleet.set_link_fault(last, Relay::Fault::kReset);
+    fleet.wait_fully_leased(all_but(controllers, last));
     cut.values.push_back(seconds_since(from));
-    fleet.cut_off(last, Relay::Fault::kNone);
-    fleet.wait_divided(all_but(controllers));
+    fleet.set_link_fault(last, Relay::Fault::kNone);
+    fleet.wait_fully_leased(all_but(controllers));
   }
   // Ten seconds at rest: without queries, all of it is the fleet's and the loop's own.
   std::map<int, std::map<std::string, long>> before;
   std::map<int, double> cpu_before;
   for (const int i : all_but(controllers))
     before[i] = fleet.at(i).counters(), cpu_before[i] = cpu_of(fleet.at(i).pid());
-  const std::int64_t from = boot_us();
+  const std::int64_t from = boot_time_us();
   std::this_thread::sleep_for(std::chrono::seconds(10));
   const double passed = seconds_since(from);
   for (const int i : all_but(controllers)) {
@@ -91,7 +91,7 @@
   const Audit audit = fleet.audit();
   std::cout << "\n"
             << controllers << " processes, 3 of them keepers, term 3 s, " << rounds << " rounds; sum "
-            << (audit.fault.empty() ? "held" : audit.fault) << " at " << audit.moments
+            << (audit.violation.empty() ? "held" : audit.violation) << " at " << audit.moments
             << " moments\n\n| | median | worst |\n| --- | --- | --- |\n";
   part.print("from a start to its first part, s");
   join.print("from a start to a full division, s");
@@ -104,27 +104,27 @@
 }
 
 // Five controllers, the first with five times the others' clients; two are killed, one of them comes back.
-void worth(bool leased) {
+void compare_admission(bool leased) {
   FleetShape shape;
   shape.controllers = 5;
   shape.keepers = 3;
-  shape.largest = 5;
+  shape.max_controllers = 5;
   shape.rate = 300;
   shape.concurrency = 60;
-  shape.fleet = leased;
+  shape.use_fleet = leased;
   FleetHarness fleet(shape);
   fleet.start_all();
-  if (leased) fleet.wait_divided(all_but(5));
-  const std::int64_t from = boot_us();
+  if (leased) fleet.wait_fully_leased(all_but(5));
+  const std::int64_t from = boot_time_us();
   const long before = fleet.admitted();
-  fleet.traffic(5);
-  const auto stretch = std::chrono::seconds(10);
-  std::this_thread::sleep_for(stretch);
+  fleet.start_traffic(5);
+  const auto phase = std::chrono::seconds(10);
+  std::this_thread::sleep_for(phase);
   fleet.kill(3);
   fleet.kill(4);
-  std::this_thread::sleep_for(stretch);
+  std::this_thread::sleep_for(phase);
   fleet.start(3);
-  std::this_thread::sleep_for(stretch);
+  std::this_thread::sleep_for(phase);
   const double passed = seconds_since(from);
   const long admitted = fleet.admitted() - before;
   const FleetHarness::Counts counts = fleet.stop_traffic();
@@ -135,31 +135,31 @@
 
 // All are killed at one instant and started again: when each has a lease, when it is in full service; what
 // the engines admit in each second from the start on.
-void power(int controllers, int ramp_ms, int rounds) {
+void measure_power_loss(int controllers, int ramp_ms, int rounds) {
   FleetShape shape;
   shape.controllers = controllers;
   shape.keepers = 3;
-  shape.largest = controllers + 1;
+  shape.max_controllers = controllers + 1;
   shape.term_ms = 3'000;
   shape.ramp_ms = ramp_ms;
   shape.rate = 60 * controllers;
   shape.concurrency = 20 * controllers;
-  shape.relays = false;
+  shape.use_relays = false;
   FleetHarness fleet(shape);
   fleet.start_all();
-  fleet.wait_divided(all_but(controllers));
-  if (controllers <= 5) fleet.traffic();
-  Figures leased, full;
+  fleet.wait_fully_leased(all_but(controllers));
+  if (controllers <= 5) fleet.start_traffic();
+  Samples leased, full;
   std::vector<long> each_second;
   for (int round = 0; round < rounds; ++round) {
     fleet.kill_all();
-    const std::int64_t from = boot_us();
+    const std::int64_t from = boot_time_us();
     fleet.start_all();
     const long before = fleet.admitted();
     std::thread counts([&] {
       each_second.assign(1, before);
       for (int s = 1; controllers <= 5 && s <= 14; ++s) {
-        std::this_thread::sleep_for(std::chrono::microseconds(from + s * 1'000'000 - boot_us()));
+        std::this_thread::sleep_for(std::chrono::microseconds(from + s * 1'000'000 - boot_time_us()));
         each_second.push_back(fleet.admitted());
       }
     });
@@ -173,7 +173,7 @@
   const Audit audit = fleet.audit();
   std::cout << "\n"
             << controllers << " processes after a power loss, term 3 s, ramp " << ramp_ms << " ms, " << rounds
-            << " rounds; sum " << (audit.fault.empty() ? "held" : audit.fault)
+            << " rounds; sum " << (audit.violation.empty() ? "held" : audit.violation)
             << "\n\n| | median | worst |\n| --- | --- | --- |\n";
   leased.print("until the last has a lease, s");
   full.print("until the last is in full service, s");
@@ -189,14 +189,14 @@
   const std::string what = argc > 1 ? argv[1] : "all";
   if (what == "all" || what == "worth") {
     std::cout << "| by | asked | served | of the whole's rate |\n| --- | --- | --- | --- |\n";
-    worth(false);
-    worth(true);
+    compare_admission(false);
+    compare_admission(true);
   }
   if (what == "all" || what == "power") {
-    power(5, 0, 3);
-    power(5, 6'000, 3);
-    power(50, 6'000, 2);
+    measure_power_loss(5, 0, 3);
+    measure_power_loss(5, 6'000, 3);
+    measure_power_loss(50, 6'000, 2);
   }
   for (const int n : {5, 20, 100})
-    if (what == "all" || what == std::to_string(n)) sizes(n, n > 5 ? 2 : 5);
+    if (what == "all" || what == std::to_string(n)) measure_size(n, n > 5 ? 2 : 5);
 }
--- a/tests/fleet/keys_test.cpp
+++ b/tests/fleet/keys_test.cpp
@@ -24,7 +24,7 @@
   }
   ~Keys() override {
     controller.reset();
-    let_go();
+    release_engine();
     std::filesystem::remove_all(folder);
   }
 
@@ -38,14 +38,14 @@
     ++starts[call.headers.at("Call-Id")];
     ++all_starts;
     changed.notify_all();
-    changed.wait(lock, [this] { return !hold; });
+    changed.wait(lock, [this] { return !engine_held; });
     reply.headers = {{"X-Pages", "1"}, {"X-Cost-Ms", "1"}, {"X-Needed-Mb", "1"}};
     reply.body = "a\tb\tc\n";
     return reply;
   }
-  void let_go() {
+  void release_engine() {
     const std::lock_guard lock(mutex);
-    hold = false;
+    engine_held = false;
     changed.notify_all();
   }
   void start() {
@@ -73,13 +73,13 @@
   std::condition_variable changed;
   std::map<std::string, int> starts;  // by reference
   int all_starts = 0;
-  bool hold = false;
+  bool engine_held = false;
   HttpStandIn engine;
   std::unique_ptr<ControllerProcess> controller;
 };
 
 TEST_F(Keys, WhatWasSentBeforeAKillIsNotSentAgainAndSaysSoAtOnce) {
-  hold = true;
+  engine_held = true;
   start();
   {
     FrontClient client(controller->address());
@@ -89,7 +89,7 @@
         << controller->log();
   }
   kill();
-  let_go();
+  release_engine();
   start();
   ASSERT_TRUE(controller->wait_for_line("intents are kept"));
   FrontClient client(controller->address());
@@ -105,8 +105,8 @@
 // A hundred kills, each after another number of starts; all that had no answer is asked for again, for ever.
 TEST_F(Keys, NothingRunsTwiceOverAHundredKills) {
   constexpr int kKills = 100;
-  constexpr int kAtOnce = 8;
-  std::set<std::string> open;
+  constexpr int kInFlight = 8;
+  std::set<std::string> unanswered;
   std::set<std::string> served;
   int failed = 0;
   long next = 0;
@@ -114,20 +114,20 @@
     start();
     FrontClient client(controller->address());
     std::map<std::int32_t, std::string> asked;
-    while (open.size() < kAtOnce) open.insert(std::to_string(1'000'000'000'000'000 + ++next));
+    while (unanswered.size() < kInFlight) unanswered.insert(std::to_string(1'000'000'000'000'000 + ++next));
     std::int32_t tag = 0;
-    for (const std::string& reference : open) {
+    for (const std::string& reference : unanswered) {
       asked[++tag] = reference;
       ask(client, tag, reference);
     }
     // As many answers as the number of this kill says, then the end, whatever is under way.
-    for (int answers = n % kAtOnce; answers > 0; --answers) {
+    for (int answers = n % kInFlight; answers > 0; --answers) {
       const FrontAnswer answer = client.receive();
       ASSERT_NE(answer.kind, FrontAnswer::Kind::kClosed);
       const std::string reference = asked.at(answer.sequence);
       if (answer.kind == FrontAnswer::Kind::kServed) served.insert(reference);
       if (answer.kind == FrontAnswer::Kind::kFailed) ++failed;
-      if (answer.kind != FrontAnswer::Kind::kRefused) open.erase(reference);
+      if (answer.kind != FrontAnswer::Kind::kRefused) unanswered.erase(reference);
     }
     kill();
   }
--- a/tests/fleet/power_loss_test.cpp
+++ b/tests/fleet/power_loss_test.cpp
@@ -14,7 +14,7 @@
 constexpr int kControllers = 5;
 
 // The stages that a process wrote, in order, without those it fell back to.
-std::vector<std::string> stages(const std::string& log) {
+std::vector<std::string> stages_in_order(const std::string& log) {
   const std::vector<std::string> order = {"store", "keepers", "log", "terms", "budgets", "ramp", "full"};
   std::vector<std::string> out;
   std::size_t furthest = 0;
@@ -49,18 +49,18 @@
 TEST_P(PowerLossOfAll, ComesBackInStagesAndOverdrawsNothing) {
   const std::vector<int>& order = GetParam();
   fleet.start_all();
-  ASSERT_TRUE(fleet.wait_divided(order));
-  fleet.traffic();
+  ASSERT_TRUE(fleet.wait_fully_leased(order));
+  fleet.start_traffic();
   for (int loss = 0; loss < 2; ++loss) {  // the second while they recover from the first
     fleet.kill_all();
     for (const int i : order) fleet.start(i);
     for (const int i : order) ASSERT_TRUE(fleet.wait_line(i, "stage "));
   }
-  ASSERT_TRUE(fleet.wait_divided(order));
+  ASSERT_TRUE(fleet.wait_fully_leased(order));
   const auto counts = fleet.stop_traffic();
   for (const int i : order) {
     ASSERT_TRUE(fleet.wait_line(i, "stage full"));
-    const auto seen = stages(fleet.at(i).log());
+    const auto seen = stages_in_order(fleet.at(i).log());
     ASSERT_GE(seen.size(), 3U);
     EXPECT_EQ(seen[seen.size() - 2], "ramp") << "controller " << i;
   }
@@ -68,10 +68,10 @@
   EXPECT_EQ(counts.asked, counts.served + counts.refused + counts.failed + counts.lost);
   EXPECT_LE(counts.served, fleet.admitted());
   EXPECT_LE(fleet.admitted(), counts.served + counts.lost + counts.failed);
-  EXPECT_TRUE(fleet.rate_held(10 + 3 * kControllers));
-  EXPECT_LE(fleet.most_running(), shape().concurrency);
+  EXPECT_TRUE(fleet.rate_within_limit(10 + 3 * kControllers));
+  EXPECT_LE(fleet.max_running(), shape().concurrency);
   const Audit audit = fleet.audit();
-  EXPECT_EQ(audit.fault, "");
+  EXPECT_EQ(audit.violation, "");
 }
 
 INSTANTIATE_TEST_SUITE_P(Orders, PowerLossOfAll,
@@ -85,8 +85,8 @@
 TEST_F(EnginesLast, UntilTheyAreBackAllIsRefusedAndThenTheRatesHold) {
   const std::vector<int> all = {0, 1, 2, 3, 4};
   fleet.start_all();
-  ASSERT_TRUE(fleet.wait_divided(all));
-  fleet.traffic();
+  ASSERT_TRUE(fleet.wait_fully_leased(all));
+  fleet.start_traffic();
   ASSERT_TRUE(fleet.wait_served(20));
   fleet.kill_all();
   fleet.list_engines(false);
@@ -101,9 +101,9 @@
   EXPECT_EQ(counts.asked, counts.served + counts.refused + counts.failed + counts.lost);
   EXPECT_LE(counts.served, fleet.admitted());
   EXPECT_LE(fleet.admitted(), counts.served + counts.lost + counts.failed);
-  EXPECT_TRUE(fleet.rate_held(10 + 3 * kControllers));
-  EXPECT_LE(fleet.most_running(), shape().concurrency);
-  EXPECT_EQ(fleet.audit().fault, "");
+  EXPECT_TRUE(fleet.rate_within_limit(10 + 3 * kControllers));
+  EXPECT_LE(fleet.max_running(), shape().concurrency);
+  EXPECT_EQ(fleet.audit().violation, "");
 }
 
 // The operators make a whole smaller. Power is lost in the moment in which so many of them have the file, and
@@ -116,30 +116,30 @@
   shape.keepers = 3;
   FleetHarness fleet(shape);
   fleet.start_all();
-  ASSERT_TRUE(fleet.wait_divided({0, 1, 2, 3, 4}));
-  fleet.traffic();
+  ASSERT_TRUE(fleet.wait_fully_leased({0, 1, 2, 3, 4}));
+  fleet.start_traffic();
   FleetShape smaller = shape;
   smaller.rate = 80;
   smaller.concurrency = 12;
-  fleet.change(smaller, 2, GetParam());
+  fleet.reconfigure(smaller, 2, GetParam());
   if (GetParam() == kControllers) {
     ASSERT_TRUE(fleet.wait_line(0, "revision 2 "));
   }
   fleet.kill_all();
   fleet.start_all();
-  fleet.change(smaller, 2);
+  fleet.reconfigure(smaller, 2);
   for (int i = 0; i < kControllers; ++i) EXPECT_TRUE(fleet.wait_line(i, "revision 2 ")) << i;
-  EXPECT_TRUE(fleet.wait_divided({0, 1, 2, 3, 4}));
+  EXPECT_TRUE(fleet.wait_fully_leased({0, 1, 2, 3, 4}));
   const auto counts = fleet.stop_traffic();
   EXPECT_GT(counts.served, 0);
   EXPECT_EQ(counts.asked, counts.served + counts.refused + counts.failed + counts.lost);
   EXPECT_LE(counts.served, fleet.admitted());
-  EXPECT_LE(fleet.most_running(), shape.concurrency);
+  EXPECT_LE(fleet.max_running(), shape.concurrency);
   std::int64_t sum = 0;
-  for (int i = 0; i < kControllers; ++i) sum += fleet.newest_part(i, "rate/acme");
+  for (int i = 0; i < kControllers; ++i) sum += fleet.newest_lease_part(i, "rate/acme");
   EXPECT_LT(sum, 80'000);
   EXPECT_GT(sum, 40'000);
-  EXPECT_EQ(fleet.audit().fault, "");
+  EXPECT_EQ(fleet.audit().violation, "");
 }
 
 // A keeper alone, all keepers, all.
@@ -150,46 +150,46 @@
 // Its vote on an empty disk would be a second one: two of three are then no majority.
 TEST_F(LostDisk, AKeeperWithoutItsDiskDoesNotVoteAndTheOthersGoOn) {
   fleet.start_all();
-  ASSERT_TRUE(fleet.wait_divided({0, 1, 2, 3, 4}));
+  ASSERT_TRUE(fleet.wait_fully_leased({0, 1, 2, 3, 4}));
   fleet.kill(0);
   fleet.lose_store(0);
   fleet.start(0);
   EXPECT_TRUE(fleet.wait_line(0, "it must not vote on an empty one"));
-  EXPECT_TRUE(fleet.wait_divided({0, 1, 2, 3, 4}));  // as a member it has its part
+  EXPECT_TRUE(fleet.wait_fully_leased({0, 1, 2, 3, 4}));  // as a member it has its part
   fleet.kill(1);
   for (const int i : {0, 2, 3, 4})
     EXPECT_TRUE(fleet.wait_line(i, "no lease: the cut-off part alone is used")) << i;
   fleet.start(1);
-  EXPECT_TRUE(fleet.wait_divided({0, 1, 2, 3, 4}));
-  EXPECT_EQ(fleet.audit().fault, "");
+  EXPECT_TRUE(fleet.wait_fully_leased({0, 1, 2, 3, 4}));
+  EXPECT_EQ(fleet.audit().violation, "");
 }
 
 // All disks at once: another log is begun, and what the lost one had leased is waited out.
 TEST_F(LostDisk, AllKeepersWithoutTheirDisksBeginAnewAfterTheOldTerms) {
   fleet.start_all();
-  ASSERT_TRUE(fleet.wait_divided({0, 1, 2, 3, 4}));
-  fleet.traffic();
+  ASSERT_TRUE(fleet.wait_fully_leased({0, 1, 2, 3, 4}));
+  fleet.start_traffic();
   for (const int k : {0, 1, 2}) fleet.kill(k);
   for (const int k : {0, 1, 2}) fleet.lose_store(k);
   for (const int k : {0, 1, 2}) fleet.start(k);
   for (const int k : {0, 1, 2}) EXPECT_TRUE(fleet.wait_line(k, "a log is begun"));
-  EXPECT_TRUE(fleet.wait_divided({0, 1, 2, 3, 4}));
+  EXPECT_TRUE(fleet.wait_fully_leased({0, 1, 2, 3, 4}));
   fleet.stop_traffic();
-  EXPECT_TRUE(fleet.rate_held(10 + 10));
-  EXPECT_LE(fleet.most_running(), shape().concurrency);
-  EXPECT_EQ(fleet.audit().fault, "");
+  EXPECT_TRUE(fleet.rate_within_limit(10 + 10));
+  EXPECT_LE(fleet.max_running(), shape().concurrency);
+  EXPECT_EQ(fleet.audit().violation, "");
 }
 
 // A keeper's store is damaged, at each of a list of places: its start is refused with a line that names the
 // folder, or it starts careful, as the file says; the others go on, and the sum holds.
 class DamagedStore : public ::testing::Test {
  protected:
-  static FleetShape shape(bool careful) {
+  static FleetShape shape(bool start_with_bad_store) {
     FleetShape out;
     out.controllers = 4;
     out.keepers = 3;
     out.term_ms = 600;
-    out.careful = careful;
+    out.start_with_bad_store = start_with_bad_store;
     return out;
   }
   static void write(const std::string& path, const std::string& bytes) {
@@ -205,48 +205,48 @@
 TEST_F(DamagedStore, IsRefusedWithALineAtEachPlaceAndTheOthersGoOn) {
   FleetHarness fleet(shape(false));
   fleet.start_all();
-  ASSERT_TRUE(fleet.wait_divided({0, 1, 2, 3}));
-  fleet.traffic();
+  ASSERT_TRUE(fleet.wait_fully_leased({0, 1, 2, 3}));
+  fleet.start_traffic();
   fleet.kill(0);
   const std::string file = fleet.store(0) + "/data.mdb";
   const std::string good = read(file);
   std::vector<std::string> damaged = {good.substr(0, 1), good.substr(0, 4'096), good.substr(0, 8'192),
                                       "not a store at all" + std::string(20'000, 'x')};
-  std::string spoilt = good;
-  std::fill_n(spoilt.begin(), 8'192, '\xff');  // both roots
-  damaged.push_back(spoilt);
-  spoilt = good;
+  std::string corrupt = good;
+  std::fill_n(corrupt.begin(), 8'192, '\xff');  // both roots
+  damaged.push_back(corrupt);
+  corrupt = good;
   for (std::size_t at = good.find("test"); at != std::string::npos; at = good.find("test", at + 1))
-    spoilt[at] = 'T';  // whose it is, in each copy of the record
-  damaged.push_back(spoilt);
+    corrupt[at] = 'T';  // whose it is, in each copy of the record
+  damaged.push_back(corrupt);
   for (std::size_t n = 0; n < damaged.size(); ++n) {
     write(file, damaged[n]);
-    const std::string said = fleet.say_start(0);
+    const std::string said = fleet.start_error(0);
     EXPECT_NE(said.find("orchidgw: " + fleet.store(0) + ": "), std::string::npos) << n << ": " << said;
   }
   write(file, good);
   fleet.start(0);
-  EXPECT_TRUE(fleet.wait_divided({0, 1, 2, 3}));
+  EXPECT_TRUE(fleet.wait_fully_leased({0, 1, 2, 3}));
   fleet.stop_traffic();
-  EXPECT_TRUE(fleet.rate_held(10 + 10));
-  EXPECT_EQ(fleet.audit().fault, "");
+  EXPECT_TRUE(fleet.rate_within_limit(10 + 10));
+  EXPECT_EQ(fleet.audit().violation, "");
 }
 
 TEST_F(DamagedStore, StartsCarefulWhereTheFileSaysSo) {
   FleetHarness fleet(shape(true));
   fleet.start_all();
-  ASSERT_TRUE(fleet.wait_divided({0, 1, 2, 3}));
+  ASSERT_TRUE(fleet.wait_fully_leased({0, 1, 2, 3}));
   fleet.kill(0);
   write(fleet.store(0) + "/data.mdb", "not a store at all" + std::string(20'000, 'x'));
   fleet.start(0);
   EXPECT_TRUE(fleet.wait_line(0, "starts careful, as a member that keeps nothing: " + fleet.store(0)));
-  EXPECT_TRUE(fleet.wait_divided({0, 1, 2, 3}));
+  EXPECT_TRUE(fleet.wait_fully_leased({0, 1, 2, 3}));
   // It does not count as a copy: with one more gone there is no majority.
   fleet.kill(1);
   EXPECT_TRUE(fleet.wait_line(3, "no lease: the cut-off part alone is used"));
   fleet.start(1);
-  EXPECT_TRUE(fleet.wait_divided({0, 1, 2, 3}));
-  EXPECT_EQ(fleet.audit().fault, "");
+  EXPECT_TRUE(fleet.wait_fully_leased({0, 1, 2, 3}));
+  EXPECT_EQ(fleet.audit().violation, "");
 }
 
 }  // namespace
--- a/tests/fleet/power_return.cpp
+++ b/tests/fleet/power_return.cpp
@@ -26,17 +26,17 @@
   FleetShape out;
   out.controllers = controllers;
   out.keepers = 3;
-  out.largest = controllers + 1;
+  out.max_controllers = controllers + 1;
   out.term_ms = 3'000;
   out.ramp_ms = ramp_ms;
   out.rate = 200;
   out.concurrency = 10 * controllers;
-  out.relays = false;
+  out.use_relays = false;
   return out;
 }
 
 // When a process first said each stage, by its log's own time.
-std::map<std::string, std::int64_t> stages(const std::string& log) {
+std::map<std::string, std::int64_t> first_stage_times(const std::string& log) {
   std::map<std::string, std::int64_t> out;
   std::istringstream lines(log);
   for (std::string line; std::getline(lines, line);) {
@@ -50,19 +50,20 @@
   return out;
 }
 
-void times(int controllers, int ramp_ms) {
+void measure_stage_times(int controllers, int ramp_ms) {
   FleetHarness fleet(shape_of(controllers, ramp_ms));
   fleet.start_all();
   std::vector<int> all(static_cast<std::size_t>(controllers));
   std::iota(all.begin(), all.end(), 0);
-  if (!fleet.wait_divided(all)) std::cout << "never divided\n";
+  if (!fleet.wait_fully_leased(all)) std::cout << "never divided\n";
   fleet.kill_all();
-  const std::int64_t power = wall_ms();
+  const std::int64_t power_loss_at = wall_ms();
   fleet.start_all();
   std::map<std::string, std::vector<std::int64_t>> seen;
   for (const int i : all) {
     if (!fleet.wait_line(i, "stage full")) std::cout << i << " never in full service\n";
-    for (const auto& [name, at] : stages(fleet.at(i).log())) seen[name].push_back(at - power);
+    for (const auto& [name, at] : first_stage_times(fleet.at(i).log()))
+      seen[name].push_back(at - power_loss_at);
   }
   for (const char* name : {"keepers", "log", "terms", "budgets", "ramp", "full"}) {
     auto& at = seen[name];
@@ -76,50 +77,50 @@
 
 // A cold engine is allowed a tenth of what it takes warm and a tenth more each half second; it falls where it
 // gets more than N + 3 x root of N + 3 in one, N being that (the bench's measure).
-void plot(int ramp_ms) {
+void plot_admission(int ramp_ms) {
   constexpr int kControllers = 5;
   constexpr double kEngines = 2;
   const FleetShape shape = shape_of(kControllers, ramp_ms);
   FleetHarness fleet(shape);
   fleet.start_all();
-  fleet.wait_divided({0, 1, 2, 3, 4});
+  fleet.wait_fully_leased({0, 1, 2, 3, 4});
   fleet.kill_all();
-  const std::int64_t power = boot_us();
-  fleet.traffic(4);
+  const std::int64_t power_loss_at = boot_time_us();
+  fleet.start_traffic(4);
   fleet.start_all();
   for (int i = 0; i < kControllers; ++i) fleet.wait_line(i, "stage full");
   fleet.wait_served(4 * shape.rate);
   fleet.stop_traffic();
-  const auto count = [power](const std::vector<std::int64_t>& at, std::size_t w) {
-    const std::int64_t from = power + static_cast<std::int64_t>(w) * kWindow;
+  const auto count = [power_loss_at](const std::vector<std::int64_t>& at, std::size_t w) {
+    const std::int64_t from = power_loss_at + static_cast<std::int64_t>(w) * kWindow;
     return std::count_if(at.begin(), at.end(),
                          [&](std::int64_t t) { return t >= from && t < from + kWindow; });
   };
-  const auto [asked, admitted] = fleet.times();
-  int falls = 0;
+  const auto [asked, admitted] = fleet.event_times();
+  int overloaded_windows = 0;
   const double warm = shape.rate / 2.0 / kEngines;  // of one engine, in half a second
   for (std::size_t w = 0; w < 28; ++w) {
     const auto in = count(admitted, w);
     const double allowed = warm * std::min(1.0, 0.1 * static_cast<double>(w + 1));
-    const bool falls_now = static_cast<double>(in) / kEngines > allowed + 3 * std::sqrt(allowed) + 3;
-    falls += falls_now ? 1 : 0;
+    const bool overloaded = static_cast<double>(in) / kEngines > allowed + 3 * std::sqrt(allowed) + 3;
+    overloaded_windows += overloaded ? 1 : 0;
     std::cout << std::setw(5) << std::fixed << std::setprecision(1) << static_cast<double>(w) / 2
               << " s  asked " << std::setw(6) << count(asked, w) << "  let in " << std::setw(4) << in
-              << (falls_now ? " FALLS " : "       ") << std::string(static_cast<std::size_t>(in / 4), '#')
+              << (overloaded ? " FALLS " : "       ") << std::string(static_cast<std::size_t>(in / 4), '#')
               << '\n';
   }
-  std::cout << "ramp " << ramp_ms / 1'000 << " s: " << falls << " half seconds in which cold engines fall"
-            << std::endl;
+  std::cout << "ramp " << ramp_ms / 1'000 << " s: " << overloaded_windows
+            << " half seconds in which cold engines fall" << std::endl;
 }
 
 }  // namespace
 
 int main() {
   std::cout << "| controllers | ramp | stage | of them | median s | worst s |\n|---|---|---|---|---|---|\n";
-  times(5, 0);
-  times(5, 6'000);
-  times(50, 0);
-  times(50, 6'000);
-  plot(0);
-  plot(6'000);
+  measure_stage_times(5, 0);
+  measure_stage_times(5, 6'000);
+  measure_stage_times(50, 0);
+  measure_stage_times(50, 6'000);
+  plot_admission(0);
+  plot_admission(6'000);
 }
--- a/tests/fleet/relay.cpp
+++ b/tests/fleet/relay.cpp
@@ -19,9 +19,9 @@
 using Clock = std::chrono::steady_clock;
 using Fault = Relay::Fault;
 
-constexpr std::size_t kWaitingMost = 4 * 1024 * 1024;  // of bytes one way: then the sender has to wait
+constexpr std::size_t kMaxQueuedBytes = 4 * 1024 * 1024;  // of bytes one way: then the sender has to wait
 
-sockaddr_in address_at(const std::string& text) {
+sockaddr_in parse_address(const std::string& text) {
   const auto colon = text.rfind(':');
   sockaddr_in out{};
   out.sin_family = AF_INET;
@@ -30,18 +30,18 @@
   return out;
 }
 
-struct Way {  // from one descriptor to the other
+struct Direction {  // from one descriptor to the other
   int from = -1;
   int to = -1;
-  std::deque<std::pair<Clock::time_point, std::string>> waiting;  // each may pass from then on
+  std::deque<std::pair<Clock::time_point, std::string>> queued;  // each may pass from then on
   std::size_t bytes = 0;
   bool ended = false;  // no more comes
 };
 
-struct Pair {
-  Way forward, back;
-  bool torn = false;  // bytes were thrown away
-  bool dead = false;
+struct Connection {
+  Direction forward, back;
+  bool lost_bytes = false;  // bytes were thrown away
+  bool closed = false;
 };
 
 void reset(int fd) {
@@ -50,43 +50,44 @@
   ::close(fd);
 }
 
-bool holds(Fault fault, bool forward) {
-  return fault == Fault::kHold || fault == (forward ? Fault::kHoldForward : Fault::kHoldBack);
+bool blocks(Fault fault, bool forward) {
+  return fault == Fault::kHold || fault == (forward ? Fault::kHoldForward : Fault::kHoldBackward);
 }
 
-void read_in(Way& way, Pair& pair, Fault fault, int delay_ms) {
+void receive_bytes(Direction& direction, Connection& connection, Fault fault, int delay_ms) {
   char bytes[16384];
-  while (!way.ended && way.bytes < kWaitingMost) {
-    const ssize_t n = ::recv(way.from, bytes, sizeof bytes, MSG_DONTWAIT);
+  while (!direction.ended && direction.bytes < kMaxQueuedBytes) {
+    const ssize_t n = ::recv(direction.from, bytes, sizeof bytes, MSG_DONTWAIT);
     if (n < 0 && (errno == EAGAIN || errno == EINTR)) return;
     if (n <= 0) {
-      way.ended = true;
+      direction.ended = true;
       return;
     }
     if (fault == Fault::kDrop) {
-      pair.torn = true;
+      connection.lost_bytes = true;
       continue;
     }
-    way.waiting.emplace_back(Clock::now() + std::chrono::milliseconds(delay_ms),
-                             std::string(bytes, static_cast<std::size_t>(n)));
-    way.bytes += static_cast<std::size_t>(n);
+    direction.queued.emplace_back(Clock::now() + std::chrono::milliseconds(delay_ms),
+                                  std::string(bytes, static_cast<std::size_t>(n)));
+    direction.bytes += static_cast<std::size_t>(n);
   }
 }
 
-void write_out(Way& way, Pair& pair) {
-  while (!way.waiting.empty() && way.waiting.front().first <= Clock::now()) {
-    std::string& bytes = way.waiting.front().second;
-    const ssize_t n = ::send(way.to, bytes.data(), bytes.size(), MSG_DONTWAIT | MSG_NOSIGNAL);
+void send_bytes(Direction& direction, Connection& connection) {
+  while (!direction.queued.empty() && direction.queued.front().first <= Clock::now()) {
+    std::string& bytes = direction.queued.front().second;
+    const ssize_t n = ::send(direction.to, bytes.data(), bytes.size(), MSG_DONTWAIT | MSG_NOSIGNAL);
     if (n < 0 && (errno == EAGAIN || errno == EINTR)) return;
     if (n < 0) {
-      pair.dead = true;
+      connection.closed = true;
       return;
     }
-    way.bytes -= static_cast<std::size_t>(n);
+    direction.bytes -= static_cast<std::size_t>(n);
     bytes.erase(0, static_cast<std::size_t>(n));
-    if (bytes.empty()) way.waiting.pop_front();
+    if (bytes.empty()) direction.queued.pop_front();
   }
-  if (way.ended && way.waiting.empty()) pair.dead = true;  // an end passes once all before it has
+  if (direction.ended && direction.queued.empty())
+    connection.closed = true;  // an end passes once all before it has
 }
 
 std::vector<int> accept_all(int listener) {
@@ -97,24 +98,24 @@
   return accepted;
 }
 
-void connect_through(int fd, const std::string& target, std::list<Pair>& pairs) {
+void connect_to_target(int fd, const std::string& target, std::list<Connection>& connections) {
   const int out = ::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
-  const sockaddr_in at = address_at(target);
+  const sockaddr_in at = parse_address(target);
   if (::connect(out, reinterpret_cast<const sockaddr*>(&at), sizeof at) != 0) {
     reset(out);
     reset(fd);
     return;
   }
-  Pair& pair = pairs.emplace_back();
-  pair.forward.from = pair.back.to = fd;
-  pair.forward.to = pair.back.from = out;
+  Connection& connection = connections.emplace_back();
+  connection.forward.from = connection.back.to = fd;
+  connection.forward.to = connection.back.from = out;
 }
 
 }  // namespace
 
 Relay::Relay(std::string target) : target_(std::move(target)) {
   listener_ = ::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC | SOCK_NONBLOCK, 0);
-  sockaddr_in at = address_at("127.0.0.1:0");
+  sockaddr_in at = parse_address("127.0.0.1:0");
   socklen_t size = sizeof at;
   if (::bind(listener_, reinterpret_cast<sockaddr*>(&at), size) != 0 || ::listen(listener_, 64) != 0)
     throw std::runtime_error("a relay can't listen");
@@ -130,46 +131,48 @@
 }
 
 void Relay::run() {
-  constexpr int kSliceMs = 5;  // a fault is looked at so often
-  std::list<Pair> pairs;
+  constexpr int kPollTimeoutMs = 5;  // a fault is looked at so often
+  std::list<Connection> connections;
   while (!stop_) {
     const Fault before = fault_;
     std::vector<pollfd> polled = {{listener_, POLLIN, 0}};
-    for (const Pair& pair : pairs) {
-      if (!holds(before, true)) polled.push_back({pair.forward.from, POLLIN, 0});
-      if (!holds(before, false)) polled.push_back({pair.back.from, POLLIN, 0});
+    for (const Connection& connection : connections) {
+      if (!blocks(before, true)) polled.push_back({connection.forward.from, POLLIN, 0});
+      if (!blocks(before, false)) polled.push_back({connection.back.from, POLLIN, 0});
     }
-    ::poll(polled.data(), polled.size(), kSliceMs);
+    ::poll(polled.data(), polled.size(), kPollTimeoutMs);
     const std::vector<int> accepted = accept_all(listener_);
     // Read after accept: a connection begun once a fault is set always meets it, whenever the poll began.
     const Fault fault = fault_;
     for (const int fd : accepted) {
-      if (fault == Fault::kCut) {
+      if (fault == Fault::kReset) {
         reset(fd);
       } else {
-        connect_through(fd, target_, pairs);
+        connect_to_target(fd, target_, connections);
       }
     }
-    for (Pair& pair : pairs) {
+    for (Connection& connection : connections) {
       for (const bool forward : {true, false}) {
-        Way& way = forward ? pair.forward : pair.back;
-        if (holds(fault, forward)) continue;
-        read_in(way, pair, fault, delay_ms_);
-        write_out(way, pair);
+        Direction& direction = forward ? connection.forward : connection.back;
+        if (blocks(fault, forward)) continue;
+        receive_bytes(direction, connection, fault, delay_ms_);
+        send_bytes(direction, connection);
       }
-      if (fault == Fault::kCut || (pair.torn && fault != Fault::kDrop)) pair.dead = true;
+      if (fault == Fault::kReset || (connection.lost_bytes && fault != Fault::kDrop))
+        connection.closed = true;
     }
-    for (auto it = pairs.begin(); it != pairs.end();) {
-      if (!it->dead) {
+    for (auto it = connections.begin(); it != connections.end();) {
+      if (!it->closed) {
         ++it;
         continue;
       }
       reset(it->forward.from);
       reset(it->back.from);
-      it = pairs.erase(it);
+      it = connections.erase(it);
     }
   }
-  for (const Pair& pair : pairs) reset(pair.forward.from), reset(pair.back.from);
+  for (const Connection& connection : connections)
+    reset(connection.forward.from), reset(connection.back.from);
 }
 
 }  // namespace orchidgw::integration
--- a/tests/fleet/relay.h
+++ b/tests/fleet/relay.h
@@ -13,10 +13,10 @@
  public:
   enum class Fault {
     kNone,
-    kCut,          // connections are reset, new ones too
+    kReset,        // connections are reset, new ones too
     kHold,         // nothing passes; it comes late, once that is over
     kHoldForward,  // one way only: towards the target
-    kHoldBack,
+    kHoldBackward,
     kDrop,  // what comes is thrown away; connections so torn end with the fault
   };
 
--- a/tests/fleet/scenarios_test.cpp
+++ b/tests/fleet/scenarios_test.cpp
@@ -16,7 +16,7 @@
 
 void expect_held(FleetHarness& fleet) {
   const Audit audit = fleet.audit();
-  EXPECT_EQ(audit.fault, "");
+  EXPECT_EQ(audit.violation, "");
   EXPECT_GT(audit.moments, 3U);
 }
 
@@ -32,8 +32,8 @@
   FleetShape shape;
   FleetHarness fleet(shape);
   fleet.start_all();
-  ASSERT_TRUE(fleet.wait_divided({0, 1}));
-  fleet.traffic();
+  ASSERT_TRUE(fleet.wait_fully_leased({0, 1}));
+  fleet.start_traffic();
   const std::string status = net::ask_admin(fleet.admin(0), "fleet status\n");
   EXPECT_NE(status.find("keeper leads leader 1"), std::string::npos) << status;
   std::istringstream lines(status);  // each whole is leased out, set aside or free
@@ -41,28 +41,28 @@
   for (std::string line; std::getline(lines, line);) {
     std::istringstream words(line);
     std::string word, name;
-    std::int64_t whole = 0, leased = 0, set_aside = 0, free = 0;
+    std::int64_t total = 0, leased = 0, set_aside = 0, free = 0;
     if (!(words >> word >> name) || word != "allowance") continue;
-    words >> word >> whole >> word >> leased >> word >> set_aside >> word >> free;
+    words >> word >> total >> word >> leased >> word >> set_aside >> word >> free;
     EXPECT_GT(leased, 0) << line;
-    EXPECT_EQ(leased + set_aside + free, whole) << line;
+    EXPECT_EQ(leased + set_aside + free, total) << line;
     ++allowances;
   }
   EXPECT_EQ(allowances, 3);
-  const auto before = fleet.newest_part(0, "rate/acme");
+  const auto before = fleet.newest_lease_part(0, "rate/acme");
   fleet.kill(1);
-  ASSERT_TRUE(fleet.wait_divided({0}));
-  EXPECT_GT(fleet.newest_part(0, "rate/acme"), before);
+  ASSERT_TRUE(fleet.wait_fully_leased({0}));
+  EXPECT_GT(fleet.newest_lease_part(0, "rate/acme"), before);
   fleet.start(1);
-  ASSERT_TRUE(fleet.wait_divided({0, 1}));
+  ASSERT_TRUE(fleet.wait_fully_leased({0, 1}));
   const FleetHarness::Counts counts = fleet.stop_traffic();
   EXPECT_GT(counts.served, 0);
   EXPECT_EQ(counts.asked, counts.served + counts.refused + counts.failed + counts.lost);
   EXPECT_LE(counts.served, fleet.admitted());
   EXPECT_LE(fleet.admitted(), counts.served + counts.lost + counts.failed);
-  EXPECT_LE(fleet.most_running(), shape.concurrency);
+  EXPECT_LE(fleet.max_running(), shape.concurrency);
   // A burst of the whole's, or one query for each process that there was.
-  EXPECT_TRUE(fleet.rate_held(10 + 3));
+  EXPECT_TRUE(fleet.rate_within_limit(10 + 3));
   expect_held(fleet);
 }
 
@@ -88,7 +88,7 @@
  protected:
   FiveControllers() : fleet(shape()) {
     fleet.start_all();
-    divided = fleet.wait_divided(all_but(5));
+    divided = fleet.wait_fully_leased(all_but(5));
   }
   static FleetShape shape() {
     FleetShape shape;
@@ -101,7 +101,7 @@
   // Both sides: what the processes wrote, and what the engines counted, of each tenant at any moment.
   void TearDown() override {
     expect_held(fleet);
-    EXPECT_LE(fleet.most_running(), shape().concurrency);
+    EXPECT_LE(fleet.max_running(), shape().concurrency);
   }
 
   FleetHarness fleet;
@@ -109,79 +109,79 @@
 };
 
 TEST_F(FiveControllers, ALeadingKeeperIsKilledAndAnotherGoesOn) {
-  fleet.traffic();
+  fleet.start_traffic();
   const int leader = fleet.leader();
   ASSERT_GE(leader, 0);
   fleet.kill(leader);
-  EXPECT_TRUE(fleet.wait_divided(all_but(5, leader)));
+  EXPECT_TRUE(fleet.wait_fully_leased(all_but(5, leader)));
   fleet.start(leader);
-  EXPECT_TRUE(fleet.wait_divided(all_but(5)));
+  EXPECT_TRUE(fleet.wait_fully_leased(all_but(5)));
   const auto counts = fleet.stop_traffic();
   EXPECT_GT(counts.served, 0);
-  EXPECT_TRUE(fleet.rate_held(10 + 6));
+  EXPECT_TRUE(fleet.rate_within_limit(10 + 6));
 }
 
 TEST_F(FiveControllers, AMemberThatSleepsPastItsLeaseWakesWithItsCutOffPartAlone) {
-  fleet.traffic();
+  fleet.start_traffic();
   fleet.pause(4);
-  EXPECT_TRUE(fleet.wait_divided(all_but(5, 4)));  // its parts are with the others
-  fleet.go_on(4);
+  EXPECT_TRUE(fleet.wait_fully_leased(all_but(5, 4)));  // its parts are with the others
+  fleet.resume(4);
   EXPECT_TRUE(fleet.wait_line(4, "no lease: the cut-off part alone is used"));
-  EXPECT_TRUE(fleet.wait_divided(all_but(5)));
+  EXPECT_TRUE(fleet.wait_fully_leased(all_but(5)));
   fleet.stop_traffic();
-  EXPECT_TRUE(fleet.rate_held(10 + 5));
+  EXPECT_TRUE(fleet.rate_within_limit(10 + 5));
 }
 
 TEST_F(FiveControllers, ALeadingKeeperSleepsAndWakesAsNoLeader) {
   const int leader = fleet.leader();
   ASSERT_GE(leader, 0);
   fleet.pause(leader);
-  EXPECT_TRUE(fleet.wait_divided(all_but(5, leader)));
-  fleet.go_on(leader);
+  EXPECT_TRUE(fleet.wait_fully_leased(all_but(5, leader)));
+  fleet.resume(leader);
   EXPECT_TRUE(fleet.wait_line(leader, "this keeper leads no more"));
-  EXPECT_TRUE(fleet.wait_divided(all_but(5)));
+  EXPECT_TRUE(fleet.wait_fully_leased(all_but(5)));
 }
 
 TEST_F(FiveControllers, TwoSleepOneAfterTheOtherAndOneOfThemKeeps) {
   fleet.pause(3);
   fleet.pause(1);
-  EXPECT_TRUE(fleet.wait_divided({0, 2, 4}));
-  fleet.go_on(1);
-  fleet.go_on(3);
-  EXPECT_TRUE(fleet.wait_divided(all_but(5)));
+  EXPECT_TRUE(fleet.wait_fully_leased({0, 2, 4}));
+  fleet.resume(1);
+  fleet.resume(3);
+  EXPECT_TRUE(fleet.wait_fully_leased(all_but(5)));
 }
 
 TEST_F(FiveControllers, AMemberCutOffFromAllKeepersGoesOnWithItsCutOffPart) {
-  fleet.traffic();
-  fleet.cut_off(3, Fault::kCut);
+  fleet.start_traffic();
+  fleet.set_link_fault(3, Fault::kReset);
   EXPECT_TRUE(fleet.wait_line(3, "no lease: the cut-off part alone is used"));
-  EXPECT_TRUE(fleet.wait_divided(all_but(5, 3)));
-  fleet.cut_off(3, Fault::kNone);
-  EXPECT_TRUE(fleet.wait_divided(all_but(5)));
+  EXPECT_TRUE(fleet.wait_fully_leased(all_but(5, 3)));
+  fleet.set_link_fault(3, Fault::kNone);
+  EXPECT_TRUE(fleet.wait_fully_leased(all_but(5)));
   const auto counts = fleet.stop_traffic();
   EXPECT_EQ(counts.lost, 0);
-  EXPECT_TRUE(fleet.rate_held(10 + 5));
+  EXPECT_TRUE(fleet.rate_within_limit(10 + 5));
 }
 
 TEST_F(FiveControllers, AnswersThatNeverArriveAreCountedAllTheSame) {
-  fleet.cut_off(4, Fault::kHoldBack);  // its asks are heard, what it is granted is not
+  fleet.set_link_fault(4, Fault::kHoldBackward);  // its asks are heard, what it is granted is not
   EXPECT_TRUE(fleet.wait_line(4, "no lease: the cut-off part alone is used"));
-  fleet.cut_off(4, Fault::kNone);
-  EXPECT_TRUE(fleet.wait_divided(all_but(5)));
+  fleet.set_link_fault(4, Fault::kNone);
+  EXPECT_TRUE(fleet.wait_fully_leased(all_but(5)));
 }
 
 TEST_F(FiveControllers, AsksThatNeverArriveEndInNoLease) {
-  fleet.cut_off(4, Fault::kHoldForward);
-  EXPECT_TRUE(fleet.wait_divided(all_but(5, 4)));
-  fleet.cut_off(4, Fault::kNone);  // what was held comes now, all of it late
-  EXPECT_TRUE(fleet.wait_divided(all_but(5)));
+  fleet.set_link_fault(4, Fault::kHoldForward);
+  EXPECT_TRUE(fleet.wait_fully_leased(all_but(5, 4)));
+  fleet.set_link_fault(4, Fault::kNone);  // what was held comes now, all of it late
+  EXPECT_TRUE(fleet.wait_fully_leased(all_but(5)));
 }
 
 TEST_F(FiveControllers, WhatIsThrownAwayOnTheWayIsSaidAgain) {
-  fleet.cut_off(3, Fault::kDrop);
+  fleet.set_link_fault(3, Fault::kDrop);
   EXPECT_TRUE(fleet.wait_line(3, "no lease: the cut-off part alone is used"));
-  fleet.cut_off(3, Fault::kNone);
-  EXPECT_TRUE(fleet.wait_divided(all_but(5)));
+  fleet.set_link_fault(3, Fault::kNone);
+  EXPECT_TRUE(fleet.wait_fully_leased(all_but(5)));
 }
 
 // It can still be asked, and does not know that the others have another leader.
@@ -194,45 +194,45 @@
     fleet.relay(k, leader).set(Fault::kHold);
   }
   EXPECT_TRUE(fleet.wait_line(leader, "this keeper leads no more"));
-  EXPECT_TRUE(fleet.wait_divided(all_but(5, leader)));
+  EXPECT_TRUE(fleet.wait_fully_leased(all_but(5, leader)));
   for (int k = 0; k < 3; ++k) {
     if (k == leader) continue;
     fleet.relay(leader, k).set(Fault::kNone);
     fleet.relay(k, leader).set(Fault::kNone);
   }
-  EXPECT_TRUE(fleet.wait_divided(all_but(5)));
+  EXPECT_TRUE(fleet.wait_fully_leased(all_but(5)));
 }
 
 TEST_F(FiveControllers, WithoutAMajorityEveryOneIsLeftWithItsCutOffPart) {
   const std::vector<int> asleep = {0, 1};
   for (const int k : asleep) fleet.pause(k);
   for (const int i : {2, 3, 4}) EXPECT_TRUE(fleet.wait_line(i, "no lease: the cut-off part alone is used"));
-  for (const int k : asleep) fleet.go_on(k);
-  EXPECT_TRUE(fleet.wait_divided(all_but(5)));
+  for (const int k : asleep) fleet.resume(k);
+  EXPECT_TRUE(fleet.wait_fully_leased(all_but(5)));
 }
 
 TEST_F(FiveControllers, AllKeepersAreKilledAndComeBackWithTheirDisks) {
   for (int k = 0; k < 3; ++k) fleet.kill(k);
   for (int k = 0; k < 3; ++k) fleet.start(k);
-  EXPECT_TRUE(fleet.wait_divided(all_but(5)));
+  EXPECT_TRUE(fleet.wait_fully_leased(all_but(5)));
 }
 
 TEST_F(FiveControllers, EachIsKilledAndStartedInTurn) {
-  fleet.traffic();
+  fleet.start_traffic();
   for (int i = 0; i < 5; ++i) {
     fleet.kill(i);
     fleet.start(i);
   }
-  EXPECT_TRUE(fleet.wait_divided(all_but(5)));
+  EXPECT_TRUE(fleet.wait_fully_leased(all_but(5)));
   fleet.stop_traffic();
-  EXPECT_TRUE(fleet.rate_held(10 + 10));
+  EXPECT_TRUE(fleet.rate_within_limit(10 + 10));
 }
 
 TEST_F(FiveControllers, AStopGivesItsPartsBackBeforeItsLeaseIsOver) {
   EXPECT_EQ(fleet.stop(4), 0);
-  EXPECT_TRUE(fleet.wait_divided(all_but(5, 4)));
+  EXPECT_TRUE(fleet.wait_fully_leased(all_but(5, 4)));
   EXPECT_EQ(fleet.stop(3), 0);
-  EXPECT_TRUE(fleet.wait_divided({0, 1, 2}));
+  EXPECT_TRUE(fleet.wait_fully_leased({0, 1, 2}));
 }
 
 TEST_F(FiveControllers, SlowWaysBetweenAllDoNotStopIt) {
@@ -240,20 +240,20 @@
     for (int k = 0; k < 3; ++k)
       if (i != k) fleet.relay(i, k).delay(std::chrono::milliseconds(20 + 10 * i));
   fleet.kill(4);
-  EXPECT_TRUE(fleet.wait_divided(all_but(5, 4)));
+  EXPECT_TRUE(fleet.wait_fully_leased(all_but(5, 4)));
   fleet.start(4);
-  EXPECT_TRUE(fleet.wait_divided(all_but(5)));
+  EXPECT_TRUE(fleet.wait_fully_leased(all_but(5)));
 }
 
 TEST_F(FiveControllers, AWholeThatIsMadeSmallerIsFollowedDown) {
   FleetShape smaller = shape();
   smaller.rate = 80;
   smaller.concurrency = 12;
-  fleet.change(smaller, 2);
+  fleet.reconfigure(smaller, 2);
   for (int i = 0; i < 5; ++i) EXPECT_TRUE(fleet.wait_line(i, "revision 2 "));
-  EXPECT_TRUE(fleet.wait_divided(all_but(5)));
+  EXPECT_TRUE(fleet.wait_fully_leased(all_but(5)));
   std::int64_t sum = 0;
-  for (int i = 0; i < 5; ++i) sum += fleet.newest_part(i, "rate/acme");
+  for (int i = 0; i < 5; ++i) sum += fleet.newest_lease_part(i, "rate/acme");
   EXPECT_LT(sum, 80'000);
 }
 
--- a/tests/soak/soak_audit.h
+++ b/tests/soak/soak_audit.h
@@ -28,7 +28,7 @@
 };
 
 // Of a query at an engine, which is what an engine bills for it: so much of a core.
-constexpr milliseconds kLeastWork{10};
+constexpr milliseconds kMinWork{10};
 constexpr milliseconds kMeanWork{90};
 
 struct Interval {
@@ -41,46 +41,46 @@
  public:
   explicit ProcessRecord(std::string name) : name_(std::move(name)) {}
   const std::string& name() const { return name_; }
-  void killed();  // outright: what it held is nobody's duty any more
-  void asked_to_stop();
+  void record_kill();  // outright: what it held is nobody's duty any more
+  void record_stop_request();
   // It ended by itself and counted no close over a request that it had read.
-  void closed_over_nothing();
-  void stood_still(Interval at);  // stopped by a signal
+  void record_clean_close();
+  void record_pause(Interval at);  // stopped by a signal
   bool was_killed() const;
   // A request that was written as its connection ended in a shutdown, and was not read.
-  bool left_unread(Instant written_at, Instant ended_at) const;
-  Clock::duration stood_still_within(Instant from, Instant to) const;
+  bool unread_at_shutdown(Instant written_at, Instant ended_at) const;
+  Clock::duration paused_time(Instant from, Instant to) const;
 
  private:
   std::string name_;
   mutable std::mutex mutex_;
   bool killed_ = false;
-  std::optional<Instant> asked_to_stop_;
-  bool closed_over_nothing_ = false;
-  std::vector<Interval> still_;
+  std::optional<Instant> stop_requested_at_;
+  bool closed_cleanly_ = false;
+  std::vector<Interval> pauses_;
 };
 
-enum class StartEnd { kOut, kAnswered, kNeverBegun, kGivenUp };
+enum class AttemptEnd { kInFlight, kAnswered, kNotStarted, kCancelled };
 
 class SoakAudit {
  public:
   using RequestId = std::string;  // its reference
-  using StartNumber = std::size_t;
+  using AttemptIndex = std::size_t;
 
   // Clients.
-  void asked(const RequestId& id, const QueryClass& query_class, milliseconds allow,
-             std::shared_ptr<const ProcessRecord> process);
-  void answered(const RequestId& id, integration::FrontAnswer::Kind kind);
-  void left(const RequestId& id);
+  void record_request(const RequestId& id, const QueryClass& query_class, milliseconds timeout,
+                      std::shared_ptr<const ProcessRecord> process);
+  void record_answer(const RequestId& id, integration::FrontAnswer::Kind kind);
+  void record_abandoned(const RequestId& id);
 
   // Engines.
-  StartNumber started(const RequestId& id, const std::string& engine, milliseconds told_wait);
-  void asked_for(const RequestId& id, StartNumber start);
-  void ended(const RequestId& id, StartNumber start, StartEnd end);
-  void drains(const std::string& engine);  // told in the change log
-  void change_log_was_down(Interval at);
-  void machine_stood_still(Interval at);        // this test's own threads got no core
-  void begins_cold(const std::string& engine);  // its start has been told in the change log
+  AttemptIndex record_attempt(const RequestId& id, const std::string& engine, milliseconds engine_timeout);
+  void record_poll(const RequestId& id, AttemptIndex attempt);
+  void record_attempt_end(const RequestId& id, AttemptIndex attempt, AttemptEnd end);
+  void record_drain(const std::string& engine);  // told in the change log
+  void record_change_log_outage(Interval at);
+  void record_machine_stall(Interval at);               // this test's own threads got no core
+  void record_engine_start(const std::string& engine);  // its start has been told in the change log
 
   // All that was broken, a line each.
   std::vector<std::string> broken_rules() const;
@@ -89,23 +89,23 @@
   std::string summary() const;
 
  private:
-  struct Start {
+  struct Attempt {
     std::string engine;
     Instant at;
-    milliseconds told_wait{0};
-    Instant last_asked;
+    milliseconds engine_timeout{0};
+    Instant last_polled;
     Instant ended_at;
-    StartEnd end = StartEnd::kOut;
+    AttemptEnd end = AttemptEnd::kInFlight;
   };
   struct Request {
     const QueryClass* query_class = nullptr;
-    Instant asked_at;
-    milliseconds allow{0};
+    Instant sent_at;
+    milliseconds timeout{0};
     std::shared_ptr<const ProcessRecord> process;
     std::optional<Instant> answered_at;
     integration::FrontAnswer::Kind kind = integration::FrontAnswer::Kind::kClosed;
-    std::optional<Instant> left_at;
-    std::vector<Start> starts;
+    std::optional<Instant> abandoned_at;
+    std::vector<Attempt> attempts;
   };
 
   struct Share {
@@ -114,25 +114,25 @@
     double value() const { return asked > 0 ? static_cast<double>(served) / static_cast<double>(asked) : 1; }
   };
 
-  static Instant over_at(const Start& start);
+  static Instant attempt_end_time(const Attempt& attempt);
   // By class; those that left, and those of processes that were killed, are nobody's duty.
   std::map<std::string, Share> shares() const;
-  std::vector<Instant> starts_at(const std::string& engine, Instant from) const;
-  void judge_slow_start(const std::string& engine, Instant told, std::vector<std::string>& out) const;
+  std::vector<Instant> attempt_times(const std::string& engine, Instant from) const;
+  void check_slow_start(const std::string& engine, Instant told, std::vector<std::string>& out) const;
   // Of the request's process or of the machine.
-  Clock::duration stood_still(const Request& request, Instant from, Instant to) const;
-  void judge(const RequestId& id, const Request& request, std::vector<std::string>& out) const;
-  void judge_answer(const Request& request, std::vector<std::string>& out) const;
-  void judge_start(const Request& request, const Start& start, std::vector<std::string>& out) const;
-  static void judge_repeat(const Request& request, const Start& earlier, const Start& later,
-                           std::vector<std::string>& out);
+  Clock::duration stalled_time(const Request& request, Instant from, Instant to) const;
+  void check_request(const RequestId& id, const Request& request, std::vector<std::string>& out) const;
+  void check_answer(const Request& request, std::vector<std::string>& out) const;
+  void check_attempt(const Request& request, const Attempt& attempt, std::vector<std::string>& out) const;
+  static void check_second_attempt(const Request& request, const Attempt& earlier, const Attempt& later,
+                                   std::vector<std::string>& out);
 
   mutable std::mutex mutex_;
   std::map<RequestId, Request> requests_;
-  std::map<std::string, Instant> draining_;
-  std::vector<std::pair<std::string, Instant>> cold_;  // engine, when its start was told
-  std::vector<Interval> change_log_down_;
-  std::vector<Interval> machine_still_;
+  std::map<std::string, Instant> drain_announced_;
+  std::vector<std::pair<std::string, Instant>> engine_starts_;  // engine, when its start was told
+  std::vector<Interval> change_log_outages_;
+  std::vector<Interval> machine_stalls_;
 };
 
 }  // namespace orchidgw::soak
--- a/tests/soak/soak_client.h
+++ b/tests/soak/soak_client.h
@@ -12,19 +12,20 @@
 
 class SoakClient {
  public:
-  SoakClient(SoakAudit& audit, Place& place, unsigned seed) : audit_(audit), place_(place), random_(seed) {}
+  SoakClient(SoakAudit& audit, ControllerSlot& slot, unsigned seed)
+      : audit_(audit), slot_(slot), random_(seed) {}
 
   void run(Instant end);
 
  private:
   void connect();
   // These are false if the connection is over.
-  bool ask();
-  bool leave(const SoakAudit::RequestId& id);
+  bool send_request();
+  bool abandon_request(const SoakAudit::RequestId& id);
   integration::FrontAnswer receive();
 
   SoakAudit& audit_;
-  Place& place_;
+  ControllerSlot& slot_;
   std::mt19937 random_;
   std::shared_ptr<ProcessRecord> record_;  // of the process that it is connected to
   std::unique_ptr<integration::FrontClient> client_;
--- a/tests/soak/soak_engine.cpp
+++ b/tests/soak/soak_engine.cpp
@@ -11,24 +11,24 @@
 using integration::HttpReply;
 using integration::reply;
 
-constexpr milliseconds kNewsHold{250};
-constexpr milliseconds kForgottenAfter{2000};
-constexpr milliseconds kLook{5};
-constexpr double kFaultShare = 0.4;  // of calls, while a fault is on
+constexpr milliseconds kPollHold{250};
+constexpr milliseconds kUnpolledQueryTimeout{2000};
+constexpr milliseconds kCheckInterval{5};
+constexpr double kFaultProbability = 0.4;  // of calls, while a fault is on
 
-HttpReply ended_as(HttpReply::Way way) {
+HttpReply served_with(HttpReply::Way way) {
   HttpReply out = integration::served("a\tb\tc\n");
   out.way = way;
   return out;
 }
 
-HttpReply served_after(milliseconds takes) {
+HttpReply served_after(milliseconds duration) {
   HttpReply out = integration::served("a\tb\tc\n");
-  out.headers["X-Cost-Ms"] = std::to_string(takes.count());
+  out.headers["X-Cost-Ms"] = std::to_string(duration.count());
   return out;
 }
 
-HttpReply full() { return reply(503, {{"Not-Begun", "1"}}); }
+HttpReply full_reply() { return reply(503, {{"Not-Begun", "1"}}); }
 
 }  // namespace
 
@@ -42,7 +42,8 @@
   crashing_ = true;
   server_.reset();
   const std::lock_guard lock(mutex_);
-  for (auto& [reference, query] : running_) audit_.ended(reference, query.start, StartEnd::kGivenUp);
+  for (auto& [reference, query] : running_)
+    audit_.record_attempt_end(reference, query.attempt, AttemptEnd::kCancelled);
   running_.clear();
   crashing_ = false;
 }
@@ -57,8 +58,8 @@
   return std::bernoulli_distribution(probability)(random_);
 }
 
-void SoakEngine::hang_while_told() {
-  while (fault_ == EngineFault::kHangs && !crashing_) std::this_thread::sleep_for(kLook);
+void SoakEngine::hang_while_faulty() {
+  while (fault_ == EngineFault::kHangs && !crashing_) std::this_thread::sleep_for(kCheckInterval);
 }
 
 HttpReply SoakEngine::answer(const HttpCall& call) {
@@ -67,79 +68,80 @@
   if (call.method == "POST") {
     out = start(call);
   } else if (call.method == "DELETE") {
-    out = give_up(id_in_path);
+    out = cancel(id_in_path);
   } else if (call.method == "PUT") {
     out = reply(204);
   } else {
-    out = news(id_in_path);
+    out = poll(id_in_path);
   }
-  hang_while_told();
-  if (out.status == 200) note_answered(call.method == "POST" ? call.headers.at("Call-Id") : id_in_path);
-  if (fault_ == EngineFault::kResets && draw(kFaultShare)) return ended_as(HttpReply::Way::kReset);
-  if (fault_ == EngineFault::kCutsAnswers && draw(kFaultShare)) return ended_as(HttpReply::Way::kCutBody);
+  hang_while_faulty();
+  if (out.status == 200) record_answer(call.method == "POST" ? call.headers.at("Call-Id") : id_in_path);
+  if (fault_ == EngineFault::kResets && draw(kFaultProbability)) return served_with(HttpReply::Way::kReset);
+  if (fault_ == EngineFault::kTruncatesAnswers && draw(kFaultProbability))
+    return served_with(HttpReply::Way::kCutBody);
   return out;
 }
 
 // Its end is being written now.
-void SoakEngine::note_answered(const std::string& reference) {
+void SoakEngine::record_answer(const std::string& reference) {
   const std::lock_guard lock(mutex_);
   const auto it = running_.find(reference);
-  if (it != running_.end()) audit_.ended(reference, it->second.start, StartEnd::kAnswered);
+  if (it != running_.end()) audit_.record_attempt_end(reference, it->second.attempt, AttemptEnd::kAnswered);
 }
 
 HttpReply SoakEngine::start(const HttpCall& call) {
   const std::string reference = call.headers.at("Call-Id");
-  const milliseconds told(std::stol(call.headers.at("Call-Ms")));
-  const auto number = audit_.started(reference, id_, told);
-  if (fault_ == EngineFault::kFull && draw(kFaultShare)) {
-    audit_.ended(reference, number, StartEnd::kNeverBegun);
-    return full();
+  const milliseconds timeout(std::stol(call.headers.at("Call-Ms")));
+  const auto number = audit_.record_attempt(reference, id_, timeout);
+  if (fault_ == EngineFault::kFull && draw(kFaultProbability)) {
+    audit_.record_attempt_end(reference, number, AttemptEnd::kNotStarted);
+    return full_reply();
   }
   {
     const std::lock_guard lock(mutex_);
-    std::exponential_distribution<double> work(1.0 / static_cast<double>((kMeanWork - kLeastWork).count()));
-    const milliseconds takes = kLeastWork + milliseconds(static_cast<long>(work(random_)));
-    running_[reference] = {number, takes, Clock::now() + takes, Clock::now(), false};
+    std::exponential_distribution<double> work(1.0 / static_cast<double>((kMeanWork - kMinWork).count()));
+    const milliseconds duration = kMinWork + milliseconds(static_cast<long>(work(random_)));
+    running_[reference] = {number, duration, Clock::now() + duration, Clock::now(), false};
   }
-  if (fault_ == EngineFault::kFails && draw(kFaultShare)) {
-    audit_.ended(reference, number, StartEnd::kAnswered);
+  if (fault_ == EngineFault::kFails && draw(kFaultProbability)) {
+    audit_.record_attempt_end(reference, number, AttemptEnd::kAnswered);
     const std::lock_guard lock(mutex_);
     running_.erase(reference);
     return reply(500);
   }
-  return news(reference);
+  return poll(reference);
 }
 
-HttpReply SoakEngine::news(const std::string& reference) {
-  const Instant until = Clock::now() + kNewsHold;
+HttpReply SoakEngine::poll(const std::string& reference) {
+  const Instant until = Clock::now() + kPollHold;
   while (!crashing_) {
     {
       const std::lock_guard lock(mutex_);
       const auto it = running_.find(reference);
       if (it == running_.end()) return reply(500);
-      Running& query = it->second;
-      if (!query.over && Clock::now() - query.last_asked > kForgottenAfter) {
+      RunningQuery& query = it->second;
+      if (!query.done && Clock::now() - query.last_polled > kUnpolledQueryTimeout) {
         running_.erase(it);
         return reply(500);
       }
-      query.last_asked = Clock::now();
-      audit_.asked_for(reference, query.start);
+      query.last_polled = Clock::now();
+      audit_.record_poll(reference, query.attempt);
       if (Clock::now() >= query.done_at) {
-        query.over = true;
-        return served_after(query.takes);
+        query.done = true;
+        return served_after(query.duration);
       }
     }
     if (Clock::now() >= until) return reply(202);
-    std::this_thread::sleep_for(kLook);
+    std::this_thread::sleep_for(kCheckInterval);
   }
-  return ended_as(HttpReply::Way::kReset);
+  return served_with(HttpReply::Way::kReset);
 }
 
-HttpReply SoakEngine::give_up(const std::string& reference) {
+HttpReply SoakEngine::cancel(const std::string& reference) {
   const std::lock_guard lock(mutex_);
   const auto it = running_.find(reference);
   if (it == running_.end()) return reply(204);
-  audit_.ended(reference, it->second.start, StartEnd::kGivenUp);
+  audit_.record_attempt_end(reference, it->second.attempt, AttemptEnd::kCancelled);
   running_.erase(it);
   return reply(204);
 }
--- a/tests/soak/soak_engine.h
+++ b/tests/soak/soak_engine.h
@@ -13,7 +13,7 @@
 
 namespace orchidgw::soak {
 
-enum class EngineFault { kNone, kHangs, kResets, kFails, kFull, kCutsAnswers };
+enum class EngineFault { kNone, kHangs, kResets, kFails, kFull, kTruncatesAnswers };
 
 class SoakEngine {
  public:
@@ -21,25 +21,25 @@
 
   const std::string& id() const { return id_; }
   const std::string& address() const { return address_; }
-  void set(EngineFault fault) { fault_ = fault; }
+  void set_fault(EngineFault fault) { fault_ = fault; }
   void crash();    // connections are reset, its queries are gone
   void restart();  // at the same address, after a crash
 
  private:
-  struct Running {
-    SoakAudit::StartNumber start = 0;
-    milliseconds takes{0};
+  struct RunningQuery {
+    SoakAudit::AttemptIndex attempt = 0;
+    milliseconds duration{0};
     Instant done_at;
-    Instant last_asked;
-    bool over = false;
+    Instant last_polled;
+    bool done = false;
   };
 
   integration::HttpReply answer(const integration::HttpCall& call);
   integration::HttpReply start(const integration::HttpCall& call);
-  integration::HttpReply news(const std::string& reference);
-  integration::HttpReply give_up(const std::string& reference);
-  void note_answered(const std::string& reference);
-  void hang_while_told();
+  integration::HttpReply poll(const std::string& reference);
+  integration::HttpReply cancel(const std::string& reference);
+  void record_answer(const std::string& reference);
+  void hang_while_faulty();
   bool draw(double probability);
 
   std::string id_;
@@ -49,7 +49,7 @@
   std::atomic<bool> crashing_{false};
   std::mutex mutex_;
   std::mt19937 random_;
-  std::map<std::string, Running> running_;
+  std::map<std::string, RunningQuery> running_;
   std::unique_ptr<integration::HttpStandIn> server_;
 };
 
--- a/tests/soak/soak_faults.h
+++ b/tests/soak/soak_faults.h
@@ -14,31 +14,31 @@
 class SoakFaults {
  public:
   // With `crowds`, idle clients beyond a controller's places are among them.
-  SoakFaults(SoakFleet& fleet, unsigned seed, bool crowds);
+  SoakFaults(SoakFleet& fleet, unsigned seed, bool with_idle_clients);
 
-  void run(Instant end, std::atomic<int>& made);
+  void run(Instant end, std::atomic<int>& fault_count);
 
  private:
-  struct Kind {
+  struct FaultKind {
     int weight = 0;
-    std::function<void()> make;
+    std::function<void()> inject;
   };
 
-  const Kind& draw();
-  std::size_t any_place() { return random_() % fleet_.size(); }
-  milliseconds any_time(unsigned least_ms, unsigned spread_ms);
+  const FaultKind& draw();
+  std::size_t random_slot() { return random_() % fleet_.size(); }
+  milliseconds random_duration(unsigned min_ms, unsigned range_ms);
   void step_wall_clock();
-  void fail_calls();
-  void stand_still();
-  void reload_one();
-  void crowd();
-  void restart_one();
-  void spoil_engine();
+  void fail_system_calls();
+  void pause_controller();
+  void reload_controller();
+  void add_idle_clients();
+  void restart_controller();
+  void inject_engine_fault();
 
   SoakFleet& fleet_;
   std::mt19937 random_;
-  std::vector<Kind> kinds_;
-  int weights_ = 0;
+  std::vector<FaultKind> kinds_;
+  int total_weight_ = 0;
 };
 
 }  // namespace orchidgw::soak
--- a/tests/soak/soak_fleet.cpp
+++ b/tests/soak/soak_fleet.cpp
@@ -23,12 +23,12 @@
 constexpr int kControllers = 24;
 #endif
 constexpr int kEngines = 8;
-constexpr milliseconds kLongestDeadline{3000};  // of the classes below
-constexpr std::chrono::seconds kReadyWithin{10};
-constexpr int kSignalsOfSeries = 4;
-constexpr milliseconds kSignalEvery{60};
+constexpr milliseconds kMaxDeadline{3000};  // of the classes below
+constexpr std::chrono::seconds kMaxStartTime{10};
+constexpr int kMoreSignals = 4;
+constexpr milliseconds kMoreSignalsInterval{60};
 
-std::string settings_of(std::size_t self) {
+std::string make_settings(std::size_t self) {
   return R"({"balancers":)" + std::to_string(kControllers) + R"(,"me":)" + std::to_string(self) +
          R"(,"myZone":"z","classes":[)"
          R"({"name":"lookup","aim":500000,"deadline":2000000,"effect":"idempotent","value":1},)"
@@ -61,13 +61,13 @@
 SoakFleet::SoakFleet(SoakAudit& audit, unsigned seed) : audit_(audit) {
   for (int i = 0; i < kEngines; ++i) add_engine(seed);
   for (std::size_t i = 0; i < kControllers; ++i) {
-    places_.push_back(std::make_unique<Place>());
-    places_.back()->faults->set_seed(seed * 100 + static_cast<unsigned>(i));
-    begin(i);
+    slots_.push_back(std::make_unique<ControllerSlot>());
+    slots_.back()->faults->set_seed(seed * 100 + static_cast<unsigned>(i));
+    start(i);
   }
 }
 
-void SoakFleet::note(const std::string& line) {
+void SoakFleet::report_problem(const std::string& line) {
   const std::lock_guard lock(mutex_);
   problems_.push_back(line);
 }
@@ -77,79 +77,80 @@
   return problems_;
 }
 
-std::string SoakFleet::lines_to_tell() const {
+std::string SoakFleet::notable_counters() const {
   const std::lock_guard lock(mutex_);
-  return lines_to_tell_;
+  return notable_counters_;
 }
 
-std::string SoakFleet::address_of(Place& place) {
-  const std::lock_guard lock(place.mutex);
-  return place.process->address();
+std::string SoakFleet::address_of(ControllerSlot& slot) {
+  const std::lock_guard lock(slot.mutex);
+  return slot.process->address();
 }
 
 // --- Controllers ---
 
-void SoakFleet::begin(std::size_t i) {
-  Place& place = *places_[i];
+void SoakFleet::start(std::size_t i) {
+  ControllerSlot& slot = *slots_[i];
   ControllerOptions options;
   options.name = "n" + std::to_string(i);
-  options.settings = settings_of(i);
+  options.settings = make_settings(i);
   options.change_log = change_log_.address();
-  options.environment = place.faults->environment();
+  options.environment = slot.faults->environment();
   if (const char* program = std::getenv("ORCHIDGW_SOAK_PROGRAM")) options.program = program;
   {
     const std::lock_guard lock(engines_mutex_);
     for (const auto& [id, member] : members_) options.members.push_back(member);
   }
-  const Instant asked = Clock::now();
-  auto process = started(options);
-  if (Clock::now() - asked > kReadyWithin) note("start: " + options.name + " was not ready within 10 s");
-  const std::lock_guard lock(place.mutex);
-  place.process = std::move(process);
-  place.record = std::make_shared<ProcessRecord>(options.name + "#" + std::to_string(++started_processes_));
+  const Instant requested_at = Clock::now();
+  auto process = start_process(options);
+  if (Clock::now() - requested_at > kMaxStartTime)
+    report_problem("start: " + options.name + " was not ready within 10 s");
+  const std::lock_guard lock(slot.mutex);
+  slot.process = std::move(process);
+  slot.record = std::make_shared<ProcessRecord>(options.name + "#" + std::to_string(++started_processes_));
 }
 
-std::shared_ptr<ControllerProcess> SoakFleet::started(const ControllerOptions& options) {
+std::shared_ptr<ControllerProcess> SoakFleet::start_process(const ControllerOptions& options) {
   while (true) {
     try {
       return std::make_shared<ControllerProcess>(options);
     } catch (const std::runtime_error& e) {
-      note("start: " + std::string(e.what()));
+      report_problem("start: " + std::string(e.what()));
     }
   }
 }
 
-void SoakFleet::kill_and_begin(std::size_t i) {
-  Place& place = *places_[i];
-  const std::lock_guard one_at_a_time(place.fault);
-  place.record->killed();
-  place.process->signal(SIGKILL);
-  const int code = place.process->wait_exit();
+void SoakFleet::kill_and_restart(std::size_t i) {
+  ControllerSlot& slot = *slots_[i];
+  const std::lock_guard fault_lock(slot.fault_mutex);
+  slot.record->record_kill();
+  slot.process->signal(SIGKILL);
+  const int code = slot.process->wait_exit();
   if (code != 128 + SIGKILL)
-    note("crash: " + place.record->name() + " had ended with " + std::to_string(code));
-  place.process->join_reader();
-  look_for_violations(place.process->log(), place.record->name());
-  begin(i);
+    report_problem("crash: " + slot.record->name() + " had ended with " + std::to_string(code));
+  slot.process->join_reader();
+  scan_log(slot.process->log(), slot.record->name());
+  start(i);
 }
 
-void SoakFleet::restart(std::size_t i, bool with_series, milliseconds new_one_after) {
-  Place& place = *places_[i];
-  const std::lock_guard one_at_a_time(place.fault);
-  const std::shared_ptr<ControllerProcess> process = place.process;
-  const std::shared_ptr<ProcessRecord> record = place.record;
-  std::thread ending([this, process, record, with_series] {
-    if (with_series) process->signal(SIGHUP);
-    std::thread series([process, with_series] {
-      for (int n = 0; with_series && n < kSignalsOfSeries; ++n) {
-        std::this_thread::sleep_for(kSignalEvery);
+void SoakFleet::restart(std::size_t i, bool with_more_signals, milliseconds replacement_delay) {
+  ControllerSlot& slot = *slots_[i];
+  const std::lock_guard fault_lock(slot.fault_mutex);
+  const std::shared_ptr<ControllerProcess> process = slot.process;
+  const std::shared_ptr<ProcessRecord> record = slot.record;
+  std::thread ending([this, process, record, with_more_signals] {
+    if (with_more_signals) process->signal(SIGHUP);
+    std::thread more_signals([process, with_more_signals] {
+      for (int n = 0; with_more_signals && n < kMoreSignals; ++n) {
+        std::this_thread::sleep_for(kMoreSignalsInterval);
         process->signal(n % 2 == 0 ? SIGTERM : SIGHUP);
       }
     });
     stop(*process, *record);
-    series.join();
+    more_signals.join();
   });
-  std::this_thread::sleep_for(new_one_after);
-  begin(i);
+  std::this_thread::sleep_for(replacement_delay);
+  start(i);
   const std::lock_guard lock(mutex_);
   stopping_.push_back(std::move(ending));
 }
@@ -160,29 +161,29 @@
     const std::lock_guard lock(mutex_);
     stopping.swap(stopping_);
   }
-  for (auto& place : places_) {
-    place->faults->clear_rates();
-    stopping.emplace_back([this, &place] { stop(*place->process, *place->record); });
+  for (auto& slot : slots_) {
+    slot->faults->clear_rates();
+    stopping.emplace_back([this, &slot] { stop(*slot->process, *slot->record); });
   }
   for (auto& thread : stopping) thread.join();
 }
 
 // SIGKILL comes at the earliest moment that the operators' page allows.
 void SoakFleet::stop(ControllerProcess& process, ProcessRecord& record) {
-  record.asked_to_stop();
-  const integration::Shutdown shutdown = integration::shut_down(process, kLongestDeadline);
+  record.record_stop_request();
+  const integration::Shutdown shutdown = integration::shut_down(process, kMaxDeadline);
   if (shutdown.exit_code == 128 + SIGKILL) {
-    note("stop: " + record.name() + " had not ended by the kill");
+    report_problem("stop: " + record.name() + " had not ended by the kill");
   } else if (shutdown.exit_code != 0) {
-    note("crash: " + record.name() + " ended with " + std::to_string(shutdown.exit_code));
+    report_problem("crash: " + record.name() + " ended with " + std::to_string(shutdown.exit_code));
   }
   const std::string log = process.log();
   const bool over_a_request = log.find("counter violations.answer_owed") != std::string::npos;
-  if (shutdown.exit_code == 0 && !over_a_request) record.closed_over_nothing();
-  look_for_violations(log, record.name());
+  if (shutdown.exit_code == 0 && !over_a_request) record.record_clean_close();
+  scan_log(log, record.name());
 }
 
-void SoakFleet::look_for_violations(const std::string& log, const std::string& name) {
+void SoakFleet::scan_log(const std::string& log, const std::string& name) {
   std::istringstream in(log);
   for (std::string line; std::getline(in, line);) {
     const bool violation = line.starts_with("counter violations.") ||
@@ -192,10 +193,10 @@
     const bool made_room = line.starts_with("counter client_ends.made_room");
     if (violation || line.find("ERROR: AddressSanitizer") != std::string::npos ||
         line.find("runtime error") != std::string::npos)
-      note("violation: " + name + " " + line);
+      report_problem("violation: " + name + " " + line);
     if (overdue || made_room) {
       const std::lock_guard lock(mutex_);
-      lines_to_tell_ += name + " " + line + "; ";
+      notable_counters_ += name + " " + line + "; ";
     }
   }
 }
@@ -211,19 +212,20 @@
   }
 }
 
-void SoakFleet::tell_start(const std::string& id, const std::string& member) {
+void SoakFleet::announce_start(const std::string& id, const std::string& member) {
   set_member(id, member);
   change_log_.tell(member);
-  audit_.begins_cold(id);
+  audit_.record_engine_start(id);
 }
 
 void SoakFleet::add_engine(unsigned seed) {
-  const std::string id = "s-" + std::to_string(++made_engines_);
-  auto engine = std::make_shared<SoakEngine>(id, audit_, seed * 31 + static_cast<unsigned>(made_engines_));
-  const bool late = started_processes_ > 0;
-  const std::string member = integration::member(id, engine->address(), "in_service", late ? unix_ms() : 0);
-  if (late) {
-    tell_start(id, member);
+  const std::string id = "s-" + std::to_string(++created_engines_);
+  auto engine = std::make_shared<SoakEngine>(id, audit_, seed * 31 + static_cast<unsigned>(created_engines_));
+  const bool already_running = started_processes_ > 0;
+  const std::string member =
+      integration::member(id, engine->address(), "in_service", already_running ? unix_ms() : 0);
+  if (already_running) {
+    announce_start(id, member);
   } else {
     set_member(id, member);
   }
@@ -231,24 +233,24 @@
   engines_.push_back(std::move(engine));
 }
 
-std::shared_ptr<SoakEngine> SoakFleet::any_engine(std::mt19937& random) {
+std::shared_ptr<SoakEngine> SoakFleet::random_engine(std::mt19937& random) {
   const std::lock_guard lock(engines_mutex_);
   return engines_[random() % engines_.size()];
 }
 
-void SoakFleet::crash_one(std::mt19937& random, milliseconds gone_for) {
-  const std::lock_guard one_at_a_time(engine_ends_);
-  const std::shared_ptr<SoakEngine> engine = any_engine(random);
+void SoakFleet::crash_engine(std::mt19937& random, milliseconds outage) {
+  const std::lock_guard fault_lock(engine_change_mutex_);
+  const std::shared_ptr<SoakEngine> engine = random_engine(random);
   engine->crash();
-  std::this_thread::sleep_for(gone_for);
+  std::this_thread::sleep_for(outage);
   const std::string member = integration::member(engine->id(), engine->address(), "in_service", unix_ms());
   engine->restart();
-  tell_start(engine->id(), member);
+  announce_start(engine->id(), member);
 }
 
-void SoakFleet::replace_one(std::mt19937& random, milliseconds drains_for) {
-  const std::lock_guard one_at_a_time(engine_ends_);
-  const std::shared_ptr<SoakEngine> engine = any_engine(random);
+void SoakFleet::replace_engine(std::mt19937& random, milliseconds drain_duration) {
+  const std::lock_guard fault_lock(engine_change_mutex_);
+  const std::shared_ptr<SoakEngine> engine = random_engine(random);
   {
     const std::lock_guard lock(engines_mutex_);
     std::erase(engines_, engine);
@@ -257,19 +259,19 @@
   const std::string draining = integration::member(engine->id(), engine->address(), "terminating");
   set_member(engine->id(), draining);
   change_log_.tell(draining);
-  audit_.drains(engine->id());
+  audit_.record_drain(engine->id());
   add_engine(static_cast<unsigned>(random()));
-  std::this_thread::sleep_for(drains_for);
+  std::this_thread::sleep_for(drain_duration);
   set_member(engine->id(), "");
   change_log_.tell(integration::member(engine->id(), engine->address(), "terminated"));
 }
 
-void SoakFleet::fail_change_log(milliseconds down_for) {
+void SoakFleet::fail_change_log(milliseconds outage) {
   const Instant from = Clock::now();
   change_log_.set_down(true);
-  std::this_thread::sleep_for(down_for);
+  std::this_thread::sleep_for(outage);
   change_log_.set_down(false);
-  audit_.change_log_was_down({from, Clock::now()});
+  audit_.record_change_log_outage({from, Clock::now()});
 }
 
 }  // namespace orchidgw::soak
--- a/tests/soak/soak_fleet.h
+++ b/tests/soak/soak_fleet.h
@@ -22,63 +22,64 @@
 const std::vector<QueryClass>& query_classes();
 
 // A controller's place: the process that clients are sent to now.
-struct Place {
+struct ControllerSlot {
   std::mutex mutex;  // of process and record
   std::shared_ptr<integration::ControllerProcess> process;
   std::shared_ptr<ProcessRecord> record;
   std::unique_ptr<faults::FaultSwitch> faults = std::make_unique<faults::FaultSwitch>();
-  std::mutex fault;  // one fault at a time ends or stops a process
+  std::mutex fault_mutex;  // one fault at a time ends or stops a process
 };
 
 class SoakFleet {
  public:
   SoakFleet(SoakAudit& audit, unsigned seed);
 
-  std::size_t size() const { return places_.size(); }
-  Place& place(std::size_t i) { return *places_[i]; }
-  std::string address_of(Place& place);
+  std::size_t size() const { return slots_.size(); }
+  ControllerSlot& slot(std::size_t i) { return *slots_[i]; }
+  std::string address_of(ControllerSlot& slot);
 
   // Starts a process in that place, on an address of its own; clients come to it from then on.
-  void begin(std::size_t i);
-  void kill_and_begin(std::size_t i);
+  void start(std::size_t i);
+  void kill_and_restart(std::size_t i);
   // SIGTERM, perhaps amid other signals, with a new process in its place before the old one ends.
-  void restart(std::size_t i, bool with_series, milliseconds new_one_after);
+  void restart(std::size_t i, bool with_more_signals, milliseconds replacement_delay);
   void stop_all();
 
-  std::shared_ptr<SoakEngine> any_engine(std::mt19937& random);
+  std::shared_ptr<SoakEngine> random_engine(std::mt19937& random);
   // One engine at a time is gone, so these draw theirs when it is their turn.
-  void crash_one(std::mt19937& random, milliseconds gone_for);
-  void replace_one(std::mt19937& random, milliseconds drains_for);
-  void fail_change_log(milliseconds down_for);
+  void crash_engine(std::mt19937& random, milliseconds outage);
+  void replace_engine(std::mt19937& random, milliseconds drain_duration);
+  void fail_change_log(milliseconds outage);
 
   int started_processes() const { return started_processes_; }
   std::vector<std::string> problems() const;
   // Counters of requests that the reducer's own watch failed, and of clients put out for newcomers.
-  std::string lines_to_tell() const;
+  std::string notable_counters() const;
 
  private:
-  std::shared_ptr<integration::ControllerProcess> started(const integration::ControllerOptions& options);
+  std::shared_ptr<integration::ControllerProcess> start_process(
+      const integration::ControllerOptions& options);
   void stop(integration::ControllerProcess& process, ProcessRecord& record);
-  void look_for_violations(const std::string& log, const std::string& name);
-  void note(const std::string& line);
+  void scan_log(const std::string& log, const std::string& name);
+  void report_problem(const std::string& line);
   void add_engine(unsigned seed);
-  void tell_start(const std::string& id, const std::string& member);
+  void announce_start(const std::string& id, const std::string& member);
   void set_member(const std::string& id, const std::string& member);
 
   SoakAudit& audit_;
   integration::ChangeLogStandIn change_log_;
   std::mutex engines_mutex_;
-  std::mutex engine_ends_;
+  std::mutex engine_change_mutex_;
   std::map<std::string, std::string> members_;
   std::vector<std::shared_ptr<SoakEngine>> engines_;
   std::vector<std::shared_ptr<SoakEngine>> retired_;  // drained: their last queries may still run
-  std::vector<std::unique_ptr<Place>> places_;
+  std::vector<std::unique_ptr<ControllerSlot>> slots_;
   std::atomic<int> started_processes_{0};
-  std::atomic<int> made_engines_{0};
+  std::atomic<int> created_engines_{0};
   mutable std::mutex mutex_;  // of what follows
   std::vector<std::thread> stopping_;
   std::vector<std::string> problems_;
-  std::string lines_to_tell_;
+  std::string notable_counters_;
 };
 
 }  // namespace orchidgw::soak
--- a/tests/soak/soak_test.cpp
+++ b/tests/soak/soak_test.cpp
@@ -22,38 +22,38 @@
 #else
 constexpr unsigned kFaultThreads = 9;
 #endif
-constexpr std::size_t kClientsEach = 2;
-constexpr unsigned kCrowdedSeeds = 3;  // one in so many has crowds
+constexpr std::size_t kClientsPerController = 2;
+constexpr unsigned kIdleClientsOneIn = 3;  // one in so many has crowds
 
 // Where this machine has no core for a thread that only sleeps, it has none for the others either: that
 // time is laid on nobody. `mutants.sh` asks whether faults are hidden by it.
-void watch_machine(SoakAudit& audit, Instant end) {
+void record_machine_stalls(SoakAudit& audit, Instant end) {
   constexpr milliseconds kPause{5};
-  constexpr milliseconds kLateFrom{20};
-  constexpr milliseconds kAnswersStillCome{5000};
-  while (Clock::now() < end + kAnswersStillCome) {
+  constexpr milliseconds kMinStall{20};
+  constexpr milliseconds kAnswerTail{5000};
+  while (Clock::now() < end + kAnswerTail) {
     const Instant from = Clock::now();
     std::this_thread::sleep_for(kPause);
-    if (Clock::now() - from > kPause + kLateFrom) audit.machine_stood_still({from, Clock::now()});
+    if (Clock::now() - from > kPause + kMinStall) audit.record_machine_stall({from, Clock::now()});
   }
 }
 
 // Plays clients and faults until then; the count of faults.
-int play(SoakAudit& audit, SoakFleet& fleet, unsigned seed, Instant end) {
+int run_soak(SoakAudit& audit, SoakFleet& fleet, unsigned seed, Instant end) {
   std::atomic<int> faults{0};
   std::vector<std::thread> threads;
-  threads.emplace_back([&] { watch_machine(audit, end); });
-  for (unsigned i = 0; i < fleet.size() * kClientsEach; ++i)
+  threads.emplace_back([&] { record_machine_stalls(audit, end); });
+  for (unsigned i = 0; i < fleet.size() * kClientsPerController; ++i)
     threads.emplace_back(
-        [&, i] { SoakClient(audit, fleet.place(i % fleet.size()), seed * 1000 + i).run(end); });
+        [&, i] { SoakClient(audit, fleet.slot(i % fleet.size()), seed * 1000 + i).run(end); });
   for (unsigned i = 0; i < kFaultThreads; ++i)
     threads.emplace_back(
-        [&, i] { SoakFaults(fleet, seed * 7919 + i, seed % kCrowdedSeeds == 0).run(end, faults); });
+        [&, i] { SoakFaults(fleet, seed * 7919 + i, seed % kIdleClientsOneIn == 0).run(end, faults); });
   for (auto& thread : threads) thread.join();
   return faults;
 }
 
-std::chrono::seconds length_of_run() {
+std::chrono::seconds run_duration() {
   const char* text = std::getenv("ORCHIDGW_SOAK_SECONDS");
   return std::chrono::seconds(text == nullptr ? 12 : std::atoi(text));
 }
@@ -74,11 +74,11 @@
 TEST_P(Soak, NoRuleIsBrokenUnderOverlappingFaults) {
   SoakAudit audit;
   SoakFleet fleet(audit, GetParam());
-  const int faults = play(audit, fleet, GetParam(), Clock::now() + length_of_run());
+  const int faults = run_soak(audit, fleet, GetParam(), Clock::now() + run_duration());
   fleet.stop_all();
   std::cout << "seed " << GetParam() << ": " << audit.summary() << "; " << faults << " faults, "
             << fleet.started_processes() << " processes" << std::endl;
-  if (!fleet.lines_to_tell().empty()) std::cout << fleet.lines_to_tell() << std::endl;
+  if (!fleet.notable_counters().empty()) std::cout << fleet.notable_counters() << std::endl;
   for (const std::string& line : fleet.problems()) ADD_FAILURE() << line;
   for (const std::string& line : audit.broken_rules()) ADD_FAILURE() << line;
   for (const std::string& line : audit.low_shares()) ADD_FAILURE() << line;
--- a/tests/soak/start_test.cpp
+++ b/tests/soak/start_test.cpp
@@ -25,7 +25,7 @@
 using integration::ControllerOptions;
 using integration::ControllerProcess;
 
-constexpr std::uint32_t kEachCall = 1'000'000;
+constexpr std::uint32_t kEveryCall = 1'000'000;
 
 // socket(2) fails for 0.3 s for want of resources (EMFILE, ENFILE, ENOBUFS, ENOMEM), then no more.
 TEST(Start, ASocketThatCanNotBeHadAtOnceIsAskedForAgain) {
@@ -42,7 +42,7 @@
   end_of_fault.join();
 }
 
-std::string name_of(CallFault fault) {
+std::string call_name(CallFault fault) {
   switch (fault) {
     case CallFault::kSocketFails:
       return "socket";
@@ -84,7 +84,7 @@
 
 // With a folder of intents and an administration socket: every call of a start is among those that fail.
 TEST_P(StartWhereCallsFail, ItIsTriedAgainAndServes) {
-  faults.set_rate(GetParam(), kEachCall);
+  faults.set_rate(GetParam(), kEveryCall);
   std::thread end_of_fault([this] {
     std::this_thread::sleep_for(std::chrono::milliseconds(300));
     faults.clear_rates();
@@ -103,16 +103,16 @@
 
 // For the whole time that a restart has: it ends with one line that says which call, why and how often.
 TEST_P(StartWhereCallsFail, ItEndsWithOneLineWhereTheyFailOnAndOn) {
-  constexpr std::chrono::seconds kReadyWithin{10};
-  faults.set_rate(GetParam(), kEachCall);
+  constexpr std::chrono::seconds kMaxStartTime{10};
+  faults.set_rate(GetParam(), kEveryCall);
   std::map<std::string, std::string> environment = options.environment;
   const std::string config = folder / "config.json";
   std::ofstream(config) << integration::config_of(options);
   environment["BALANCER_CONFIG"] = config;
-  const auto begun_at = std::chrono::steady_clock::now();
+  const auto started_at = std::chrono::steady_clock::now();
   ControllerProcess controller(environment, options.words);
   EXPECT_EQ(controller.wait_exit(), 1);
-  EXPECT_LT(std::chrono::steady_clock::now() - begun_at, kReadyWithin);
+  EXPECT_LT(std::chrono::steady_clock::now() - started_at, kMaxStartTime);
   const std::string log = controller.log();
   EXPECT_EQ(std::count(log.begin(), log.end(), '\n'), 1) << log;
   EXPECT_TRUE(log.starts_with("orchidgw: ")) << log;
@@ -120,17 +120,17 @@
 }
 
 TEST_P(StartWhereCallsFail, ASignalToEndIsHeardMeanwhile) {
-  faults.set_rate(GetParam(), kEachCall);
+  faults.set_rate(GetParam(), kEveryCall);
   std::map<std::string, std::string> environment = options.environment;
   const std::string config = folder / "config.json";
   std::ofstream(config) << integration::config_of(options);
   environment["BALANCER_CONFIG"] = config;
   ControllerProcess controller(environment, options.words);
   std::this_thread::sleep_for(std::chrono::milliseconds(500));
-  const auto asked_at = std::chrono::steady_clock::now();
+  const auto signaled_at = std::chrono::steady_clock::now();
   controller.signal(SIGTERM);
   EXPECT_EQ(controller.wait_exit(), 0) << controller.log();
-  EXPECT_LT(std::chrono::steady_clock::now() - asked_at, std::chrono::milliseconds(700));
+  EXPECT_LT(std::chrono::steady_clock::now() - signaled_at, std::chrono::milliseconds(700));
 }
 
 INSTANTIATE_TEST_SUITE_P(Calls, StartWhereCallsFail,
@@ -139,7 +139,7 @@
                                            CallFault::kEventDescriptorFails, CallFault::kTimerDescriptorFails,
                                            CallFault::kSignalDescriptorFails, CallFault::kOpenFails,
                                            CallFault::kLockFails),
-                         [](const auto& tested) { return name_of(tested.param); });
+                         [](const auto& tested) { return call_name(tested.param); });
 
 // Guards against a configuration that is not taken over for good, as its file could not be opened for a
 // moment.
@@ -148,7 +148,7 @@
   ControllerOptions options;
   options.environment = faults.environment();
   ControllerProcess controller(options);
-  faults.set_rate(CallFault::kOpenFails, kEachCall);
+  faults.set_rate(CallFault::kOpenFails, kEveryCall);
   controller.signal(SIGHUP);
   ASSERT_TRUE(controller.wait_for_line("configuration not taken over: "));
   faults.clear_rates();
