--- a/tests/fleet/auditor.cpp
+++ b/tests/fleet/auditor.cpp
@@ -7,7 +7,7 @@
 namespace orchidgw::integration {
 namespace {
 
-// "123+45/1000"
+// Parses "LEASE+CUT_OFF/TOTAL", such as "123+45/1000"; false if the text has another form.
 bool read_part(const std::string& text, LeaseLine::Part& part) {
   char plus = 0;
   char slash = 0;
@@ -16,7 +16,7 @@
          slash == '/';
 }
 
-// What a process may use of an allowance at a moment, by its last line before.
+// What a process may use of an allowance at `at`, by its last line up to then; -1 if it is not running then.
 std::int64_t usable(const ProcessRecord& record, const std::string& allowance, std::int64_t at) {
   if (record.ended_at > 0 && at >= record.ended_at) return -1;
   const LeaseLine* last = nullptr;
@@ -54,7 +54,7 @@
 
 Audit audit(const std::vector<ProcessRecord>& records, int max_controllers) {
   Audit out;
-  std::set<std::int64_t> moments;  // the sum rises only where a line begins
+  std::set<std::int64_t> moments;  // a sum rises only when a lease line takes effect
   std::map<std::string, LeaseLine::Part> allowances;
   for (const ProcessRecord& record : records) {
     for (const LeaseLine& line : record.lines) {
--- a/tests/fleet/auditor.h
+++ b/tests/fleet/auditor.h
@@ -1,5 +1,6 @@
-// Reads what every process wrote of its leases (`lease N from T until U ...`, on the machine's one clock) and
-// holds their sum against the whole at every moment.
+// Parses the lease lines that every process logged (`lease N from T until U ...`, timed by CLOCK_BOOTTIME,
+// which all processes of the machine share) and checks that their sum never exceeds the total of an
+// allowance.
 #pragma once
 
 #include <cstdint>
@@ -9,7 +10,8 @@
 
 namespace orchidgw::integration {
 
-// One line: from then on this much may be used, the lease's part until its end.
+// One lease line: what the process may use from `from` on. The leased part ends at `until`, the cut-off part
+// stays.
 struct LeaseLine {
   struct Part {
     std::int64_t lease = 0;
@@ -18,28 +20,29 @@
   };
   std::uint64_t number = 0;
   std::int64_t from = 0;   // us, CLOCK_BOOTTIME
-  std::int64_t until = 0;  // of the lease
+  std::int64_t until = 0;  // us, end of the lease
   std::uint64_t revision = 0;
   std::map<std::string, Part> parts;
 };
 
-// All lease lines of a process's output; a last line that is not whole is left.
+// Returns all lease lines of a process's output; an incomplete last line is ignored.
 std::vector<LeaseLine> lease_lines(const std::string& output);
 
-// One process from its start to its end; what it may use ends with it.
+// One process from its start to its end; after its end it uses nothing.
 struct ProcessRecord {
   std::string name;
-  std::int64_t ended_at = 0;  // 0: it runs
+  std::int64_t ended_at = 0;  // us, CLOCK_BOOTTIME; 0: still running
   std::vector<LeaseLine> lines;
 };
 
 struct Audit {
-  std::string violation;                             // empty: the sum held at every moment
-  std::size_t moments = 0;                           // looked at
-  std::map<std::string, std::int64_t> largest_sums;  // the largest sum seen, by allowance
+  std::string violation;    // the first sum that exceeded its total; empty: there was none
+  std::size_t moments = 0;  // how many points in time were checked
+  std::map<std::string, std::int64_t> largest_sums;  // by allowance
 };
 
-// `largest`: controllers there may be; those that are not there count with their cut-off part.
+// `max_controllers`: how many controllers there may be; each one that is not running counts with its cut-off
+// part.
 Audit audit(const std::vector<ProcessRecord>& records, int max_controllers);
 
 }  // namespace orchidgw::integration
--- a/tests/fleet/fleet_harness.cpp
+++ b/tests/fleet/fleet_harness.cpp
@@ -18,7 +18,7 @@
 
 constexpr auto kWaitTimeout = std::chrono::seconds(60);
 constexpr int kEngines = 2;
-constexpr auto kThinkTime = std::chrono::milliseconds(10);  // of a client that was not served
+constexpr auto kThinkTime = std::chrono::milliseconds(10);  // of a client after a request that was not served
 constexpr int kDriftPercent = 5;
 constexpr const char* kOnceTable = "keys.loads";
 constexpr std::int64_t kReservePpm = 50'000;
@@ -57,7 +57,7 @@
   std::filesystem::remove_all(directory_);
 }
 
-// Counts what it admits, and serves it a few milliseconds later.
+// Answers a call as an engine: counts the query and serves it 5 ms later.
 HttpReply FleetHarness::answer_engine_call(const HttpCall& call) {
   HttpReply reply;
   if (call.method != "POST") {
@@ -70,7 +70,7 @@
     engine_changed_.notify_all();
     engine_changed_.wait(lock, [this] { return !engines_held_; });
   }
-  std::string tenant;  // each client asks for a table of its tenant's
+  std::string tenant;  // each client queries a table that is named after its tenant
   for (const std::string& one : shape_.tenants)
     if (call.body.find(" " + one + ".") != std::string::npos) tenant = one;
   {
@@ -78,7 +78,7 @@
     admitted_at_[tenant].push_back(boot_time_us());
     max_running_ = std::max(max_running_, ++running_[tenant]);
   }
-  std::this_thread::sleep_for(std::chrono::milliseconds(5));  // its work
+  std::this_thread::sleep_for(std::chrono::milliseconds(5));  // the query runs
   {
     const std::lock_guard lock(engine_mutex_);
     --running_[tenant];
@@ -272,7 +272,7 @@
   }
 }
 
-// Looks again whenever a process has written something.
+// Checks the condition again whenever a process has written a line.
 bool FleetHarness::wait_until(const std::function<bool()>& holds) {
   const auto until = std::chrono::steady_clock::now() + kWaitTimeout;
   while (std::chrono::steady_clock::now() < until) {
@@ -313,7 +313,7 @@
 
 long FleetHarness::granted_key_count(int keeper) {
   const std::string status = net::ask_admin(admin(keeper), "fleet status\n");
-  const std::string before = " given ";  // in the keeper's line
+  const std::string before = " given ";  // precedes the count in the keeper's status line
   const auto line = status.find("keys rest ");
   const auto at = line == std::string::npos ? line : status.find(before, line);
   return at == std::string::npos ? -1 : std::stol(status.substr(at + before.size()));
@@ -348,7 +348,8 @@
   return lines.empty() ? -1 : lines.back().parts.at(allowance).lease;
 }
 
-// One client of controller i: asks again as soon as it has its answer, whoever the process is by then.
+// One client of controller i: sends the next query after each answer, to whichever process runs as controller
+// i then.
 void FleetHarness::run_client(int i, const std::string& tenant) {
   std::unique_ptr<FrontClient> client;
   std::string address;
@@ -462,7 +463,8 @@
   return max_running_;
 }
 
-// Counted from the first start: an arrival that comes late on a slow machine is never too early for it.
+// Time counts from the first start of a controller, so that queries which a slow machine delays can't appear
+// to exceed the rate.
 bool FleetHarness::rate_within_limit(double burst) {
   const std::lock_guard lock(engine_mutex_);
   for (const auto& [tenant, at] : admitted_at_)
--- a/tests/fleet/fleet_keys_test.cpp
+++ b/tests/fleet/fleet_keys_test.cpp
@@ -1,5 +1,6 @@
-// What must not run twice, over several controllers: engines record each start by its reference, clients ask
-// again, elsewhere, for what they had no answer for; processes and ways between them fail meanwhile.
+// At-most-once queries over several controllers. Engines record each start by its reference; clients send a
+// query that was not answered again, to another controller, while processes and connections between them
+// fail. Guards against a query that two controllers, or two incarnations of one, both send to engines.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -34,12 +35,13 @@
     fleet->start_all();
     for (int i = 0; i < shape.controllers; ++i) ready(i);
   }
-  // Until it lets in what must not run twice: it has a lease, and no key of a lost log may rest.
+  // Waits until it accepts at-most-once queries: it has a lease, and no hold of a lost log can still be in
+  // effect.
   void ready(int i) {
     ASSERT_TRUE(fleet->wait_line(i, "leased component")) << i;
     EXPECT_EQ(ask_until_accepted(i, "f00000000000000" + std::to_string(i)), Kind::kServed);
   }
-  // One query on a connection of its own.
+  // Sends one query on a connection of its own.
   Kind ask(int i, const std::string& reference) {
     FrontClient client(fleet->address(i));
     fleet->send_once_request(client, 1, reference);
@@ -50,14 +52,14 @@
     for (; kind == Kind::kRefused; kind = ask(i, reference)) pause_client();
     return kind;
   }
-  // So many, one after the other.
+  // Has controller 3 serve `loads` queries, one after the other.
   void serve_loads_at_3(int loads) {
     for (int n = 0; n < loads; ++n) {
       last_load = std::to_string(3'000'000'000'000'000 + n);
       ASSERT_EQ(ask_until_accepted(3, last_load), Kind::kServed) << n;
     }
   }
-  // Of three keepers two are left: the last of those loads rests, another one is served.
+  // With two of three keepers left, the key of the last load is still held, and another load is served.
   void expect_key_held_without_keeper_0() {
     fleet->kill(0);
     fleet->lose_store(0);
@@ -73,7 +75,8 @@
 
 const std::string kLoadReference = "00000000000000a1";
 
-// Two controllers, one whole: what one has sent the other does not send, through a kill of the one.
+// Two controllers with shared limits: what one has sent the other does not send, also after the first was
+// killed.
 TEST_F(FleetKeys, WhatOneControllerSentNoOtherSendsThroughAKill) {
   begin(shape_of(2, 1));
   fleet->hold_engines(true);
@@ -81,12 +84,13 @@
     FrontClient client(fleet->address(1));
     fleet->send_once_request(client, 1, kLoadReference);
     ASSERT_TRUE(fleet->wait_starts(kLoadReference, 1));
-    EXPECT_EQ(ask(0, kLoadReference), Kind::kFailed);  // no refusal: it would call another try harmless
+    EXPECT_EQ(ask(0, kLoadReference),
+              Kind::kFailed);  // not a refusal, which would say that a retry is harmless
     fleet->kill(1);
   }
   EXPECT_EQ(ask(0, kLoadReference), Kind::kFailed);
   fleet->start(1);
-  EXPECT_EQ(ask_until_accepted(1, kLoadReference), Kind::kFailed);  // another start of the same controller
+  EXPECT_EQ(ask_until_accepted(1, kLoadReference), Kind::kFailed);  // a new process of the same controller
   fleet->hold_engines(false);
   EXPECT_EQ(ask(0, "00000000000000a2"), Kind::kServed);
   EXPECT_EQ(fleet->starts()[kLoadReference].size(), 1U);
@@ -103,11 +107,11 @@
   EXPECT_GE(starts[1] - starts[0], kKeyHoldMs * 1'000);
 }
 
-// A keeper agrees on a key whose query was refused meanwhile, for want of an answer; the word that it is free
-// is lost with the connection. Who asks again is served: a refusal said that this is harmless.
+// A keeper grants a hold after its query was refused because no answer came in time, and the release of the
+// hold is lost with the connection. A retry has to be served: the refusal said that it is harmless.
 TEST_F(FleetKeys, AKeyGivenTooLateForItsQueryDoesNotTurnTheNextOneAway) {
   FleetShape shape = shape_of(2, 1);
-  shape.term_ms = 2'400;  // a promise is waited for half of it: less than the client waits
+  shape.term_ms = 2'400;  // a hold is waited for half of it, which is less than the client waits
   begin(shape);
   Relay& relay = fleet->relay(1, 0);
   FrontClient client(fleet->address(1));
@@ -118,13 +122,14 @@
   relay.set(Relay::Fault::kHold);
   EXPECT_EQ(client.receive().kind, Kind::kRefused);
   relay.set(Relay::Fault::kReset);
-  EXPECT_EQ(FrontClient(relay.address()).receive().kind, Kind::kClosed);  // it has cut what was there
+  EXPECT_EQ(FrontClient(relay.address()).receive().kind,
+            Kind::kClosed);  // the relay has reset the connections by now
   relay.set(Relay::Fault::kNone);
   EXPECT_EQ(ask_until_accepted(1, kLoadReference), Kind::kServed);
   EXPECT_EQ(fleet->starts()[kLoadReference].size(), 1U);
 }
 
-// A keeper, then the leading one with its disk, are lost while the key rests: the rest of them know.
+// The leading keeper is lost with its disk while the key is held: the remaining keepers still know the hold.
 TEST_F(FleetKeys, TheLeaderAndItsDiskAreLostAndTheKeyIsKnown) {
   begin(shape_of(4, 3));
   EXPECT_EQ(ask(3, kLoadReference), Kind::kServed);
@@ -137,8 +142,9 @@
   EXPECT_EQ(fleet->starts()[kLoadReference].size(), 1U);
 }
 
-// A keeper is away while more is promised than the log keeps behind its snapshot; it comes back, one of the
-// others is lost with its disk: with what it was sent it is the second copy.
+// A keeper is down while more holds are granted than the log keeps behind its snapshot, so it needs the
+// snapshot when it returns. Then another keeper is lost with its disk: the returned one has to serve as the
+// second copy.
 TEST_F(FleetKeys, AKeeperThatComesBackLateCatchesUpAndCountsAsACopy) {
   begin(shape_of(4, 3));
   fleet->kill(2);
@@ -148,8 +154,8 @@
   expect_key_held_without_keeper_0();
 }
 
-// A keeper's machine is set up again from a copy of its disk, and its fleet goes on meanwhile: the keeper
-// catches up, and is the second copy when another one is lost.
+// A keeper is restored from an old copy of its disk while its fleet went on: it has to catch up and serve as
+// the second copy when another keeper is lost.
 TEST_F(FleetKeys, AKeeperOnAnOldCopyOfItsDiskCatchesUpAndCountsAsACopy) {
   begin(shape_of(4, 3));
   fleet->kill(1);
@@ -165,8 +171,9 @@
   expect_key_held_without_keeper_0();
 }
 
-// Two of three keepers are lost with their disks: an operator has the third go on alone, and is told before
-// what that may lose. What it knew to rest rests still, and what it could not know is waited out.
+// Two of three keepers are lost with their disks: an operator recovers the fleet from the third, and is told
+// beforehand what that may lose. Holds that it knew stay in effect, and those that it could not know are
+// waited out.
 TEST_F(FleetKeys, AnOperatorGoesOnFromOneCopyOfThree) {
   begin(shape_of(4, 3));
   EXPECT_EQ(ask(3, kLoadReference), Kind::kServed);
@@ -189,7 +196,8 @@
   EXPECT_EQ(fleet->audit().violation, "");
 }
 
-// No promise, no send: refused at once, which is harmless; what may run twice goes on.
+// A query whose key can't be held is not sent but refused at once, so a retry is harmless; queries that may
+// run twice are served.
 TEST_F(FleetKeys, WithoutKeepersKeyedQueriesAreRefusedAndOthersServed) {
   begin(shape_of(3, 1));
   fleet->relay(1, 0).set(Relay::Fault::kHold);
@@ -205,13 +213,13 @@
   EXPECT_EQ(fleet->starts()[kLoadReference].size(), 1U);
 }
 
-// All are killed at one instant, again and again, and come back in another order, some pairs cut: clients ask
-// for each load at one controller after the other until somebody says that it is served or may have run, and
-// then some more.
+// All processes are killed at one instant, repeatedly, and restart in random order, at times with one
+// controller cut off from the keepers. Clients send each load to random controllers until it was three times
+// reported as served or as possibly run: no load may start twice within the hold of its key.
 TEST_F(FleetKeys, NothingRunsTwiceOverPowerLossesOfAll) {
   constexpr int kControllers = 5;
   constexpr int kClients = 10;
-  const char* times = std::getenv("ORCHIDGW_POWER_LOSSES");  // 100 for the measurement, a dozen in CI
+  const char* times = std::getenv("ORCHIDGW_POWER_LOSSES");  // 100 for the measurement, 12 in CI
   const int losses = times != nullptr ? std::atoi(times) : 12;
   begin(shape_of(kControllers, 3));
   std::mutex mutex;
@@ -248,7 +256,7 @@
             ++asked;
             kind = client.receive().kind;
           } catch (const std::exception&) {
-            continue;  // it was never asked, or the process is gone
+            continue;  // the request was not sent, or the process is gone
           }
           if (kind == Kind::kServed) {
             ++served, ++known;
@@ -267,7 +275,7 @@
   std::vector<int> order = {0, 1, 2, 3, 4};
   for (int loss = 0; loss < losses; ++loss) {
     const long before = served;
-    // Each at another point of the service: after so many more loads were served.
+    // Each loss comes at another moment: after one to seven more loads were served.
     while (served < before + 1 + loss % 7) pause_client();
     for (const int i : order) publish(i, "");
     fleet->kill_all();
--- a/tests/fleet/fleet_sizes.cpp
+++ b/tests/fleet/fleet_sizes.cpp
@@ -1,5 +1,6 @@
-// How fast a fleet's budgets follow who lives, on real processes and loopback, and what the fleet costs; what
-// is served of a whole by a told count and by leases. A measurement, no test: `make fleet-sizes`.
+// Measures on real processes over loopback how fast leases are divided anew when controllers stop or start,
+// what the fleet costs, and how much of the total limit is served with a configured number of controllers and
+// with leases. Not a test; run by `make fleet-sizes`.
 #include <sys/resource.h>
 
 #include <algorithm>
@@ -45,7 +46,7 @@
   shape.use_relays = controllers <= 20;
   FleetHarness fleet(shape);
   fleet.start_all();
-  if (!fleet.wait_fully_leased(all_but(controllers))) std::cout << "never divided\n";
+  if (!fleet.wait_fully_leased(all_but(controllers))) std::cout << "not fully leased in time\n";
   Samples part, join, kill, pause, cut, cpu, sent, bytes;
   const int last = controllers - 1;
   for (int round = 0; round < rounds; ++round) {
@@ -73,7 +74,7 @@
     fleet.set_link_fault(last, Relay::Fault::kNone);
     fleet.wait_fully_leased(all_but(controllers));
   }
-  // Ten seconds at rest: without queries, all of it is the fleet's and the loop's own.
+  // Ten seconds without queries: all cost is that of the fleet protocol and the event loop.
   std::map<int, std::map<std::string, long>> before;
   std::map<int, double> cpu_before;
   for (const int i : all_but(controllers))
@@ -103,7 +104,8 @@
   cpu.print("CPU, ms a second (worst: the leading keeper)");
 }
 
-// Five controllers, the first with five times the others' clients; two are killed, one of them comes back.
+// Five controllers, the first with five times the clients of the others; two are killed, one of them is
+// restarted.
 void compare_admission(bool leased) {
   FleetShape shape;
   shape.controllers = 5;
@@ -133,8 +135,8 @@
             << static_cast<double>(admitted) / (shape.rate * passed) << " |" << std::endl;
 }
 
-// All are killed at one instant and started again: when each has a lease, when it is in full service; what
-// the engines admit in each second from the start on.
+// All processes are killed at one instant and restarted: measures when each has a lease and when it is in
+// full service, and, with up to five controllers, what the engines admit in each second from the kill on.
 void measure_power_loss(int controllers, int ramp_ms, int rounds) {
   FleetShape shape;
   shape.controllers = controllers;
--- a/tests/fleet/keys_rate.cpp
+++ b/tests/fleet/keys_rate.cpp
@@ -1,6 +1,6 @@
-// What it costs that a key is promised before it is sent: latency of keyed and of safe queries, and how many
-// a second, with it off, on the own disk, and on 1, 3 and 5 keepers. A measurement, no test: `make
-// keys-rate`.
+// Measures what it costs to hold a key before its query is sent: latency and rate of keyed and of safe
+// queries without holds, with intents on the local disk, and with 1, 3 and 5 keepers. Not a test; run by
+// `make keys-rate`.
 #include <algorithm>
 #include <atomic>
 #include <iomanip>
--- a/tests/fleet/keys_test.cpp
+++ b/tests/fleet/keys_test.cpp
@@ -1,5 +1,6 @@
-// What must not run twice, over kills of a real process: the engines record each start by its reference, the
-// client asks again for all that it had no answer for.
+// At-most-once queries over kills of a real process. Engines record each start by its reference; the client
+// sends again every query that was not answered. Guards against a restarted controller that sends a query
+// again which the killed process had sent.
 #include <gtest/gtest.h>
 #include <signal.h>
 
@@ -63,7 +64,7 @@
     const auto it = starts.find(reference);
     return it == starts.end() ? 0 : it->second;
   }
-  // Asks for what must not run twice.
+  // Sends an at-most-once query.
   static void ask(FrontClient& client, std::int32_t tag, const std::string& reference) {
     client.invoke(tag, {{"service", "once"}, {"ref", reference}});
   }
@@ -94,15 +95,17 @@
   ASSERT_TRUE(controller->wait_for_line("intents are kept"));
   FrontClient client(controller->address());
   ask(client, 1, "00000000000000a1");
-  EXPECT_EQ(client.receive().kind, FrontAnswer::Kind::kFailed);  // no refusal: it would call a try harmless
+  EXPECT_EQ(client.receive().kind,
+            FrontAnswer::Kind::kFailed);  // not a refusal, which would say that a retry is harmless
   ask(client, 2, "00000000000000a2");
   EXPECT_EQ(client.receive().kind, FrontAnswer::Kind::kServed);
-  client.invoke(3);  // safe to repeat: not concerned
+  client.invoke(3);  // safe to repeat, so not affected
   EXPECT_EQ(client.receive().kind, FrontAnswer::Kind::kServed);
   EXPECT_EQ(starts_of("00000000000000a1"), 1);
 }
 
-// A hundred kills, each after another number of starts; all that had no answer is asked for again, for ever.
+// A hundred kills, each after another number of answers; every query without an answer is sent again after
+// each restart, without limit.
 TEST_F(Keys, NothingRunsTwiceOverAHundredKills) {
   constexpr int kKills = 100;
   constexpr int kInFlight = 8;
@@ -120,7 +123,7 @@
       asked[++tag] = reference;
       ask(client, tag, reference);
     }
-    // As many answers as the number of this kill says, then the end, whatever is under way.
+    // Kills after n % 8 answers, whatever is still in flight.
     for (int answers = n % kInFlight; answers > 0; --answers) {
       const FrontAnswer answer = client.receive();
       ASSERT_NE(answer.kind, FrontAnswer::Kind::kClosed);
--- a/tests/fleet/power_loss_test.cpp
+++ b/tests/fleet/power_loss_test.cpp
@@ -1,5 +1,6 @@
-// Power losses of real processes: all are killed at one instant under load, come back in some order, some of
-// them without their disks. Both sides are counted as in the other stories.
+// Power losses of a fleet of real processes: all are killed at one instant under load and restart in various
+// orders, some of them without their disks. Guards against limits that are exceeded, or queries that are not
+// accounted for, while the fleet recovers; clients and engines both count.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -13,7 +14,7 @@
 
 constexpr int kControllers = 5;
 
-// The stages that a process wrote, in order, without those it fell back to.
+// The recovery stages that a process logged, in order, without the earlier ones that it fell back to.
 std::vector<std::string> stages_in_order(const std::string& log) {
   const std::vector<std::string> order = {"store", "keepers", "log", "terms", "budgets", "ramp", "full"};
   std::vector<std::string> out;
@@ -51,7 +52,7 @@
   fleet.start_all();
   ASSERT_TRUE(fleet.wait_fully_leased(order));
   fleet.start_traffic();
-  for (int loss = 0; loss < 2; ++loss) {  // the second while they recover from the first
+  for (int loss = 0; loss < 2; ++loss) {  // the second comes during the recovery from the first
     fleet.kill_all();
     for (const int i : order) fleet.start(i);
     for (const int i : order) ASSERT_TRUE(fleet.wait_line(i, "stage "));
@@ -78,8 +79,8 @@
                          ::testing::Values(std::vector<int>{0, 1, 2, 3, 4}, std::vector<int>{4, 3, 2, 1, 0},
                                            std::vector<int>{3, 1, 4, 0, 2}));
 
-// The controllers are in full service before the first engine is listed: what comes is refused, and what is
-// let in once they are back keeps to the rates.
+// The controllers are in full service before any engine is listed: until then every query is refused, and
+// what is admitted once the engines are back stays within the rates.
 class EnginesLast : public PowerLossOfAll {};
 
 TEST_F(EnginesLast, UntilTheyAreBackAllIsRefusedAndThenTheRatesHold) {
@@ -106,8 +107,8 @@
   EXPECT_EQ(fleet.audit().violation, "");
 }
 
-// The operators make a whole smaller. Power is lost in the moment in which so many of them have the file, and
-// perhaps have read it; the others have it only after their return.
+// Operators lower the total of a limit. Power is lost when the first so many controllers (the parameter) have
+// the new file and may have read it; the others get it only after their restart.
 class PowerLossWithinAReload : public ::testing::TestWithParam<int> {};
 
 TEST_P(PowerLossWithinAReload, TheSumHoldsAndTheNewWholeIsFollowed) {
@@ -142,12 +143,13 @@
   EXPECT_EQ(fleet.audit().violation, "");
 }
 
-// A keeper alone, all keepers, all.
+// One keeper, all keepers, all controllers.
 INSTANTIATE_TEST_SUITE_P(Files, PowerLossWithinAReload, ::testing::Values(1, 3, 5));
 
 class LostDisk : public PowerLossOfAll {};
 
-// Its vote on an empty disk would be a second one: two of three are then no majority.
+// With an empty disk it could vote twice in one term, so it does not vote: one more keeper down, and there is
+// no majority.
 TEST_F(LostDisk, AKeeperWithoutItsDiskDoesNotVoteAndTheOthersGoOn) {
   fleet.start_all();
   ASSERT_TRUE(fleet.wait_fully_leased({0, 1, 2, 3, 4}));
@@ -155,7 +157,7 @@
   fleet.lose_store(0);
   fleet.start(0);
   EXPECT_TRUE(fleet.wait_line(0, "it must not vote on an empty one"));
-  EXPECT_TRUE(fleet.wait_fully_leased({0, 1, 2, 3, 4}));  // as a member it has its part
+  EXPECT_TRUE(fleet.wait_fully_leased({0, 1, 2, 3, 4}));  // as a member it still gets leases
   fleet.kill(1);
   for (const int i : {0, 2, 3, 4})
     EXPECT_TRUE(fleet.wait_line(i, "no lease: the cut-off part alone is used")) << i;
@@ -164,7 +166,8 @@
   EXPECT_EQ(fleet.audit().violation, "");
 }
 
-// All disks at once: another log is begun, and what the lost one had leased is waited out.
+// All keepers lose their disks: a new log is bootstrapped, and grants wait until the leases of the lost log
+// have expired.
 TEST_F(LostDisk, AllKeepersWithoutTheirDisksBeginAnewAfterTheOldTerms) {
   fleet.start_all();
   ASSERT_TRUE(fleet.wait_fully_leased({0, 1, 2, 3, 4}));
@@ -180,8 +183,9 @@
   EXPECT_EQ(fleet.audit().violation, "");
 }
 
-// A keeper's store is damaged, at each of a list of places: its start is refused with a line that names the
-// folder, or it starts careful, as the file says; the others go on, and the sum holds.
+// A keeper's store is damaged in one of several ways: it refuses to start, with a line that names the folder,
+// or, where the fleet file says `bad_store: careful`, starts as a plain member. The others keep serving, and
+// no limit is exceeded.
 class DamagedStore : public ::testing::Test {
  protected:
   static FleetShape shape(bool start_with_bad_store) {
@@ -213,11 +217,11 @@
   std::vector<std::string> damaged = {good.substr(0, 1), good.substr(0, 4'096), good.substr(0, 8'192),
                                       "not a store at all" + std::string(20'000, 'x')};
   std::string corrupt = good;
-  std::fill_n(corrupt.begin(), 8'192, '\xff');  // both roots
+  std::fill_n(corrupt.begin(), 8'192, '\xff');  // both meta pages
   damaged.push_back(corrupt);
   corrupt = good;
   for (std::size_t at = good.find("test"); at != std::string::npos; at = good.find("test", at + 1))
-    corrupt[at] = 'T';  // whose it is, in each copy of the record
+    corrupt[at] = 'T';  // the fleet's name, in each copy of the owner record
   damaged.push_back(corrupt);
   for (std::size_t n = 0; n < damaged.size(); ++n) {
     write(file, damaged[n]);
@@ -241,7 +245,7 @@
   fleet.start(0);
   EXPECT_TRUE(fleet.wait_line(0, "starts careful, as a member that keeps nothing: " + fleet.store(0)));
   EXPECT_TRUE(fleet.wait_fully_leased({0, 1, 2, 3}));
-  // It does not count as a copy: with one more gone there is no majority.
+  // It does not count as a copy of the log: with one more keeper down there is no majority.
   fleet.kill(1);
   EXPECT_TRUE(fleet.wait_line(3, "no lease: the cut-off part alone is used"));
   fleet.start(1);
--- a/tests/fleet/power_return.cpp
+++ b/tests/fleet/power_return.cpp
@@ -1,6 +1,6 @@
-// How service comes back after power was lost to all: time to each stage, at several sizes; what is offered,
-// let in and would have felled cold engines, by half seconds, with the fleet's ramp and without. A
-// measurement, no test: `make power-return`.
+// Measures the recovery after a power loss of all processes: time to each stage, at several sizes; and by
+// half seconds, with and without the fleet's ramp, the queries that were sent and admitted and whether they
+// would overload engines in slow start. Not a test; run by `make power-return`.
 #include <algorithm>
 #include <cmath>
 #include <iomanip>
@@ -35,7 +35,7 @@
   return out;
 }
 
-// When a process first said each stage, by its log's own time.
+// When a process first logged each stage, in Unix ms as in its log.
 std::map<std::string, std::int64_t> first_stage_times(const std::string& log) {
   std::map<std::string, std::int64_t> out;
   std::istringstream lines(log);
@@ -55,7 +55,7 @@
   fleet.start_all();
   std::vector<int> all(static_cast<std::size_t>(controllers));
   std::iota(all.begin(), all.end(), 0);
-  if (!fleet.wait_fully_leased(all)) std::cout << "never divided\n";
+  if (!fleet.wait_fully_leased(all)) std::cout << "not fully leased in time\n";
   fleet.kill_all();
   const std::int64_t power_loss_at = wall_ms();
   fleet.start_all();
@@ -75,8 +75,9 @@
   }
 }
 
-// A cold engine is allowed a tenth of what it takes warm and a tenth more each half second; it falls where it
-// gets more than N + 3 x root of N + 3 in one, N being that (the bench's measure).
+// An engine in slow start may get a tenth of its full load in the first half second and a tenth more in each
+// further one. It counts as overloaded if it gets more than N + 3 x sqrt(N) + 3 queries in one, N being what
+// it may get; the bench uses the same measure.
 void plot_admission(int ramp_ms) {
   constexpr int kControllers = 5;
   constexpr double kEngines = 2;
@@ -98,7 +99,8 @@
   };
   const auto [asked, admitted] = fleet.event_times();
   int overloaded_windows = 0;
-  const double warm = shape.rate / 2.0 / kEngines;  // of one engine, in half a second
+  const double warm =
+      shape.rate / 2.0 / kEngines;  // queries that one engine takes in half a second at full capacity
   for (std::size_t w = 0; w < 28; ++w) {
     const auto in = count(admitted, w);
     const double allowed = warm * std::min(1.0, 0.1 * static_cast<double>(w + 1));
--- a/tests/fleet/relay.cpp
+++ b/tests/fleet/relay.cpp
@@ -19,7 +19,8 @@
 using Clock = std::chrono::steady_clock;
 using Fault = Relay::Fault;
 
-constexpr std::size_t kMaxQueuedBytes = 4 * 1024 * 1024;  // of bytes one way: then the sender has to wait
+// In one direction; beyond that the relay stops reading, so the sender has to wait.
+constexpr std::size_t kMaxQueuedBytes = 4 * 1024 * 1024;
 
 sockaddr_in parse_address(const std::string& text) {
   const auto colon = text.rfind(':');
@@ -33,14 +34,15 @@
 struct Direction {  // from one descriptor to the other
   int from = -1;
   int to = -1;
-  std::deque<std::pair<Clock::time_point, std::string>> queued;  // each may pass from then on
+  // Chunks, each to be sent at its time or later.
+  std::deque<std::pair<Clock::time_point, std::string>> queued;
   std::size_t bytes = 0;
-  bool ended = false;  // no more comes
+  bool ended = false;  // the sender has closed
 };
 
 struct Connection {
   Direction forward, back;
-  bool lost_bytes = false;  // bytes were thrown away
+  bool lost_bytes = false;  // kDrop discarded bytes of it
   bool closed = false;
 };
 
@@ -87,7 +89,7 @@
     if (bytes.empty()) direction.queued.pop_front();
   }
   if (direction.ended && direction.queued.empty())
-    connection.closed = true;  // an end passes once all before it has
+    connection.closed = true;  // the close is passed on after all bytes before it
 }
 
 std::vector<int> accept_all(int listener) {
@@ -118,7 +120,7 @@
   sockaddr_in at = parse_address("127.0.0.1:0");
   socklen_t size = sizeof at;
   if (::bind(listener_, reinterpret_cast<sockaddr*>(&at), size) != 0 || ::listen(listener_, 64) != 0)
-    throw std::runtime_error("a relay can't listen");
+    throw std::runtime_error("relay: cannot listen");
   ::getsockname(listener_, reinterpret_cast<sockaddr*>(&at), &size);
   address_ = "127.0.0.1:" + std::to_string(ntohs(at.sin_port));
   thread_ = std::thread([this] { run(); });
@@ -131,7 +133,7 @@
 }
 
 void Relay::run() {
-  constexpr int kPollTimeoutMs = 5;  // a fault is looked at so often
+  constexpr int kPollTimeoutMs = 5;  // the longest time until a new fault or a stop takes effect
   std::list<Connection> connections;
   while (!stop_) {
     const Fault before = fault_;
@@ -142,7 +144,7 @@
     }
     ::poll(polled.data(), polled.size(), kPollTimeoutMs);
     const std::vector<int> accepted = accept_all(listener_);
-    // Read after accept: a connection begun once a fault is set always meets it, whenever the poll began.
+    // Read after accept, so that a connection opened after a fault was set always gets that fault.
     const Fault fault = fault_;
     for (const int fd : accepted) {
       if (fault == Fault::kReset) {
--- a/tests/fleet/relay.h
+++ b/tests/fleet/relay.h
@@ -1,4 +1,4 @@
-// A relay between two processes: what one says to the other passes through it, and faults are put there.
+// A TCP relay between two processes that can reset, hold, drop or delay what passes through it.
 #pragma once
 
 #include <atomic>
@@ -13,21 +13,22 @@
  public:
   enum class Fault {
     kNone,
-    kReset,        // connections are reset, new ones too
-    kHold,         // nothing passes; it comes late, once that is over
-    kHoldForward,  // one way only: towards the target
-    kHoldBackward,
-    kDrop,  // what comes is thrown away; connections so torn end with the fault
+    kReset,         // connections are reset, new ones too
+    kHold,          // nothing passes; it is delivered once the fault is cleared
+    kHoldForward,   // only towards the target
+    kHoldBackward,  // only from the target
+    // Received bytes are discarded; connections that lost bytes are closed once the fault is cleared.
+    kDrop,
   };
 
-  explicit Relay(std::string target);  // HOST:PORT
+  explicit Relay(std::string target);  // HOST:PORT; listens on a free port of 127.0.0.1, throws if it can't
   ~Relay();
   Relay(const Relay&) = delete;
   Relay& operator=(const Relay&) = delete;
 
   std::string address() const { return address_; }
   void set(Fault fault) { fault_ = fault; }
-  void delay(std::chrono::milliseconds by) { delay_ms_ = static_cast<int>(by.count()); }  // each way
+  void delay(std::chrono::milliseconds by) { delay_ms_ = static_cast<int>(by.count()); }  // in each direction
 
  private:
   void run();
--- a/tests/fleet/scenarios_test.cpp
+++ b/tests/fleet/scenarios_test.cpp
@@ -1,5 +1,6 @@
-// A fleet of real processes under faults. After each story the auditor holds the sum of all that every
-// process might use against the whole, at every moment of it; the engines' own counts stand beside that.
+// A fleet of real processes under faults. Guards against controllers that together use more than the total of
+// a limit: after each test the audit sums up what all processes might use at every moment, and the engines'
+// own counts are checked besides.
 #include <Poco/Net/StreamSocket.h>
 #include <gtest/gtest.h>
 
@@ -27,7 +28,8 @@
   return out;
 }
 
-// The first slice: two processes, one whole, real traffic, the sum held through a kill.
+// Two processes that share limits, with traffic: the sum of their leases stays within the total through a
+// kill.
 TEST(Fleet, TwoControllersShareOneWholeAndItHoldsThroughAKill) {
   FleetShape shape;
   FleetHarness fleet(shape);
@@ -36,7 +38,7 @@
   fleet.start_traffic();
   const std::string status = net::ask_admin(fleet.admin(0), "fleet status\n");
   EXPECT_NE(status.find("keeper leads leader 1"), std::string::npos) << status;
-  std::istringstream lines(status);  // each whole is leased out, set aside or free
+  std::istringstream lines(status);  // each total is leased, set aside or free
   int allowances = 0;
   for (std::string line; std::getline(lines, line);) {
     std::istringstream words(line);
@@ -61,12 +63,13 @@
   EXPECT_LE(counts.served, fleet.admitted());
   EXPECT_LE(fleet.admitted(), counts.served + counts.lost + counts.failed);
   EXPECT_LE(fleet.max_running(), shape.concurrency);
-  // A burst of the whole's, or one query for each process that there was.
+  // The burst of the limit (10), and one query for each of the 3 processes that ran.
   EXPECT_TRUE(fleet.rate_within_limit(10 + 3));
   expect_held(fleet);
 }
 
-// A message of another version, or of another fleet, is refused with one line, and its connection closed.
+// A peer of another protocol version or of another fleet is refused with one log line, and its connection is
+// closed.
 TEST(Fleet, StrangersAreTurnedAwayWithALine) {
   FleetHarness fleet({});
   fleet.start(0);
@@ -80,7 +83,8 @@
     socket.sendBytes(bytes.data(), static_cast<int>(bytes.size()));
     EXPECT_TRUE(fleet.wait_line(0, line));
     char buffer[4096];
-    while (socket.receiveBytes(buffer, sizeof buffer) > 0) continue;  // its own greeting, then the end
+    while (socket.receiveBytes(buffer, sizeof buffer) > 0)
+      continue;  // the keeper's own greeting, then end of stream
   }
 }
 
@@ -98,7 +102,7 @@
     return shape;
   }
   void SetUp() override { ASSERT_TRUE(divided); }
-  // Both sides: what the processes wrote, and what the engines counted, of each tenant at any moment.
+  // Checks the leases that the processes logged, and what the engines counted for each tenant.
   void TearDown() override {
     expect_held(fleet);
     EXPECT_LE(fleet.max_running(), shape().concurrency);
@@ -124,7 +128,7 @@
 TEST_F(FiveControllers, AMemberThatSleepsPastItsLeaseWakesWithItsCutOffPartAlone) {
   fleet.start_traffic();
   fleet.pause(4);
-  EXPECT_TRUE(fleet.wait_fully_leased(all_but(5, 4)));  // its parts are with the others
+  EXPECT_TRUE(fleet.wait_fully_leased(all_but(5, 4)));  // its leased parts are with the others
   fleet.resume(4);
   EXPECT_TRUE(fleet.wait_line(4, "no lease: the cut-off part alone is used"));
   EXPECT_TRUE(fleet.wait_fully_leased(all_but(5)));
@@ -164,7 +168,7 @@
 }
 
 TEST_F(FiveControllers, AnswersThatNeverArriveAreCountedAllTheSame) {
-  fleet.set_link_fault(4, Fault::kHoldBackward);  // its asks are heard, what it is granted is not
+  fleet.set_link_fault(4, Fault::kHoldBackward);  // its lease requests arrive, the replies to it don't
   EXPECT_TRUE(fleet.wait_line(4, "no lease: the cut-off part alone is used"));
   fleet.set_link_fault(4, Fault::kNone);
   EXPECT_TRUE(fleet.wait_fully_leased(all_but(5)));
@@ -173,7 +177,7 @@
 TEST_F(FiveControllers, AsksThatNeverArriveEndInNoLease) {
   fleet.set_link_fault(4, Fault::kHoldForward);
   EXPECT_TRUE(fleet.wait_fully_leased(all_but(5, 4)));
-  fleet.set_link_fault(4, Fault::kNone);  // what was held comes now, all of it late
+  fleet.set_link_fault(4, Fault::kNone);  // held messages arrive now, all of them late
   EXPECT_TRUE(fleet.wait_fully_leased(all_but(5)));
 }
 
@@ -184,7 +188,7 @@
   EXPECT_TRUE(fleet.wait_fully_leased(all_but(5)));
 }
 
-// It can still be asked, and does not know that the others have another leader.
+// Members can still reach it, and it does not know that the other keepers have another leader.
 TEST_F(FiveControllers, ALeaderThatIsCutOffFromTheOtherKeepersGrantsNothing) {
   const int leader = fleet.leader();
   ASSERT_GE(leader, 0);
