--- a/bench/fleet_sizes.cpp
+++ b/bench/fleet_sizes.cpp
@@ -1,5 +1,6 @@
-// How fast a fleet's budgets follow who lives, at sizes that sockets do not reach: the program's own fleet
-// code over libraft on a network and a clock moved by hand (`make fleet-sizes`). Simulated, and called so.
+// Measures how fast leases are divided anew when controllers stop or start, at sizes that sockets don't
+// reach: the program's own fleet code over libraft on a simulated network and clock (`make fleet-sizes`). The
+// output marks the figures as simulated.
 #include <ctime>
 #include <iomanip>
 #include <iostream>
@@ -18,7 +19,7 @@
 
 double cpu_seconds() { return static_cast<double>(std::clock()) / CLOCKS_PER_SEC; }
 
-// Until the whole is divided among those that live; simulated seconds.
+// Runs until the live members hold all that can be leased, 60 s at most; returns the simulated seconds.
 double run_until_fully_leased(FleetSimulation& fleet) {
   const TimeUs from = fleet.now();
   do {
@@ -40,7 +41,7 @@
   Samples part, join, kill, pause, cut, power, messages, bytes, cpu;
   for (int seed = 1; seed <= seeds; ++seed) {
     FleetSimulation::Shape shape = fleet_shape(3, members);
-    shape.terms.longest_rest = 0;  // no keys: what budgets cost
+    shape.terms.longest_rest = 0;  // no key holds, so the cost is that of the leases alone
     FleetSimulation fleet(shape, static_cast<std::uint64_t>(seed));
     fleet.kill_member(0);
     run_until_fully_leased(fleet);
@@ -94,8 +95,9 @@
   std::cout << std::flush;
 }
 
-// Power lost to all, back within a second, with a ramp of 6 s and each controller's keyed loads, one a
-// second: until all have a lease, and until the whole is divided.
+// All lose power and are back within a second, with a ramp of 6 s; each controller sends one keyed load a
+// second. Measures the time until the first keyed load is sent, all have a lease, and all that can be leased
+// is leased.
 void measure_power_loss(int members, int seeds) {
   Samples leased, divided, keyed;
   for (int seed = 1; seed <= seeds; ++seed) {
@@ -137,7 +139,7 @@
   std::cout << std::flush;
 }
 
-// What each event pays for a fleet: the clock read, and the lease's end held against it.
+// What each event costs in a fleet: reading the clock and comparing it with the end of the lease.
 void measure_lease_check() {
   constexpr int kTimes = 5'000'000;
   orchidgw::budget::Holder holder({"c0", 1}, fleet_shape(1, 5).terms);
@@ -148,13 +150,13 @@
     clock_gettime(CLOCK_BOOTTIME, &at);
     leased += holder.leased(static_cast<TimeUs>(at.tv_sec) * kSecond + at.tv_nsec / 1000) ? 1 : 0;
   }
-  std::cout << "\na check at the send: " << (cpu_seconds() - before) / kTimes * 1e9 << " ns (" << leased
-            << ")\n";
+  std::cout << "\na lease check before a send: " << (cpu_seconds() - before) / kTimes * 1e9 << " ns ("
+            << leased << ")\n";
 }
 
 }  // namespace
 
-// fleet_sizes [MEMBERS [SEEDS]]: without SEEDS the way back after a power loss alone
+// fleet_sizes [MEMBERS [SEEDS]]: with MEMBERS alone it measures only the recovery after a power loss.
 int main(int argc, char** argv) {
   if (argc == 2) {
     measure_power_loss(std::stoi(argv[1]), 5);
--- a/bench/limits_bench.cpp
+++ b/bench/limits_bench.cpp
@@ -1,5 +1,5 @@
-// What the limits cost: finding a route, letting a query in and out, and loading a large file. `make bench`
-// runs it; docs/limits.md has the figures.
+// Measures what the limits cost: finding a route, admitting a query and ending it, and loading a large file.
+// Run by `make bench`; docs/limits.md has the figures.
 #include <benchmark/benchmark.h>
 
 #include <atomic>
@@ -43,7 +43,8 @@
   return s;
 }
 
-// One route a table, for classes and tenants in turn; some state prefixes.
+// An operator file with one route per table, for classes and tenants in turn; every fifth route has a table
+// prefix.
 std::string make_operator_file(int routes) {
   constexpr const char* kClasses[] = {"lookup", "report", "order-load"};
   std::string text = "version: 1\nroutes:\n";
--- a/bench/service_days.cpp
+++ b/bench/service_days.cpp
@@ -1,7 +1,7 @@
-// Rough days with and without reduced service levels, in simulated time: the program's own reducer, module,
-// limits and levels against engines that share their cores among all that they run. Worth is counted as the
-// operators count it: whole within the aim, a part after it. `make service-days` runs it;
-// docs/service-levels.md has the figures.
+// Simulates days with disturbances, with and without reduced service levels: the program's own reducer,
+// decision module, limits and levels against engines that share their cores among all queries that they run.
+// Value is counted as the operators count it: in full within the latency target, in part after it. Run by
+// `make service-days`; docs/service-levels.md has the figures.
 #include <array>
 #include <functional>
 #include <iomanip>
@@ -35,7 +35,7 @@
 struct QueryKind {
   const char* name;
   double per_second;
-  double work_ms;  // on one core
+  double work_ms;  // CPU time on one core
   int threads;
   double value;
   double late_worth;
@@ -45,7 +45,7 @@
   Effect effect;
 };
 
-// Load of about 0.7 of all cores on a calm day.
+// Keep about 0.7 of all cores busy on a calm day.
 constexpr std::array<QueryKind, 3> kQueryKinds = {{
     {"lookup", 68, 150, 1, 1, 0.1, 750 * kMs, 2, 4 * kSecond, Effect::kIdempotent},
     {"report", 4.6, 2'800, 2, 6, 0.4, 1'500 * kMs, 2.5, 20 * kSecond, Effect::kIdempotent},
@@ -54,12 +54,13 @@
 
 struct Day {
   const char* name;
-  std::function<double(std::size_t kind, bool disturbed)> rate;  // times the calm one
-  std::function<double(int engine, bool disturbed)> speed;       // of an engine, 1 on a calm day
+  std::function<double(std::size_t kind, bool disturbed)>
+      rate;  // arrival rate as a multiple of that on a calm day
+  std::function<double(int engine, bool disturbed)> speed;  // of an engine; 1 on a calm day
 };
 
-// Reports are shed only while more of them come than usual: where all engines are slow and demand is as ever,
-// shedding costs the worth of the reports and frees little.
+// Reports are shed only while more of them arrive than usual: where all engines are slow at the usual demand,
+// shedding loses the value of the reports and frees little capacity.
 const char* const kLevels = R"(version: 1
 levels:
   list:
@@ -172,13 +173,13 @@
   struct SentRequest {
     std::size_t kind = 0;
     TimeUs at = 0;
-    double work = 0;  // microseconds on one core
+    double work = 0;  // us of one core
   };
   struct RunningQuery {
     int engine = 0;
-    double remaining = 0;  // microseconds of one core
+    double remaining = 0;  // us of one core
     int threads = 1;
-    CallId call = 0;  // that waits for it; 0: none
+    CallId call = 0;  // the call that waits for its result; 0: none
     TimeUs call_until = 0;
     bool done = false;
     double cost = 0;
@@ -216,7 +217,8 @@
     apply(RequestArrived{static_cast<ClientId>(1 + tag / 16), tag, std::move(r), ""});
   }
 
-  // All that an engine runs shares its cores; past two threads a core work is lost to switching.
+  // An engine's queries share its cores; with more than two threads per core, work is lost to context
+  // switches.
   void work() {
     std::array<double, kEngines> threads{};
     for (const auto& [id, q] : running_)
@@ -335,8 +337,9 @@
   };
   constexpr int kSeeds = 5;
   std::cout << std::fixed << std::setprecision(3);
-  std::cout << "day                              levels  worth/offered  loads in aim  refused  shed  failed  "
-               "changes\n";
+  std::cout
+      << "day                              levels  value/offered  loads on time  refused  shed  failed  "
+         "changes\n";
   for (const Day& day : days) {
     for (const bool levels : {false, true}) {
       Result sum;
--- a/bench/store_sizes.cpp
+++ b/bench/store_sizes.cpp
@@ -1,6 +1,6 @@
-// How fast a keeper's store takes records, by how many are committed together, and how long its log takes to
-// be found again, by its length. A measurement: `make store-sizes`. On the disk below the folder for
-// temporary files.
+// Measures how fast a keeper's store writes records, by how many are committed together, and how long it
+// takes to load and apply its log, by the log's length. Run by `make store-sizes`; uses the disk of the
+// folder for temporary files.
 #include <sys/resource.h>
 
 #include <chrono>
--- a/tests/fleet/fleet_sizes.cpp
+++ b/tests/fleet/fleet_sizes.cpp
@@ -136,7 +136,7 @@
 }
 
 // All processes are killed at one instant and restarted: measures when each has a lease and when it is in
-// full service, and, with up to five controllers, what the engines admit in each second from the kill on.
+// full service, and, with up to five controllers, what the engines admit in each second from the restart on.
 void measure_power_loss(int controllers, int ramp_ms, int rounds) {
   FleetShape shape;
   shape.controllers = controllers;
--- a/tests/fleet/power_return.cpp
+++ b/tests/fleet/power_return.cpp
@@ -107,12 +107,12 @@
     const bool overloaded = static_cast<double>(in) / kEngines > allowed + 3 * std::sqrt(allowed) + 3;
     overloaded_windows += overloaded ? 1 : 0;
     std::cout << std::setw(5) << std::fixed << std::setprecision(1) << static_cast<double>(w) / 2
-              << " s  asked " << std::setw(6) << count(asked, w) << "  let in " << std::setw(4) << in
-              << (overloaded ? " FALLS " : "       ") << std::string(static_cast<std::size_t>(in / 4), '#')
-              << '\n';
+              << " s  asked " << std::setw(6) << count(asked, w) << "  admitted " << std::setw(4) << in
+              << (overloaded ? " OVERLOADED " : "            ")
+              << std::string(static_cast<std::size_t>(in / 4), '#') << '\n';
   }
   std::cout << "ramp " << ramp_ms / 1'000 << " s: " << overloaded_windows
-            << " half seconds in which cold engines fall" << std::endl;
+            << " half seconds in which engines in slow start are overloaded" << std::endl;
 }
 
 }  // namespace
--- a/tests/soak/soak_audit.cpp
+++ b/tests/soak/soak_audit.cpp
@@ -9,28 +9,31 @@
 
 using Kind = integration::FrontAnswer::Kind;
 
-constexpr milliseconds kUnpolledQueryTimeout{2000};  // an engine drops what is not asked for
-constexpr milliseconds kAnswerGrace{500};            // after the client's time: later is lost
-constexpr milliseconds kAbortGrace{100};             // after a client left
-constexpr milliseconds kDrainGrace{1000};            // as the settings of the soak have it
-constexpr milliseconds kEngineTimeoutSlack{150};     // what an engine is told beyond what its client has left
-constexpr milliseconds kRuleSlack{50};               // by which each limit of time grows on sockets
-constexpr milliseconds kMachineSlack{100};           // threads of this test and the processes share the cores
-constexpr milliseconds kConnectionCloseDelay{600};   // clients send on open connections so long after SIGTERM
-constexpr milliseconds kCloseRaceWindow{50};         // a request and the end of its connection
-constexpr milliseconds kChangeLogDelay{600};         // after the change log was down
-// Half of what a policy serves that sees the true state; none serves more than all.
+constexpr milliseconds kUnpolledQueryTimeout{2000};  // an engine drops a query that is not polled for so long
+constexpr milliseconds kAnswerGrace{500};         // past the client's timeout; a later answer counts as lost
+constexpr milliseconds kAbortGrace{100};          // past an abort or a disconnect
+constexpr milliseconds kDrainGrace{1000};         // `stopSendingWithin` in the soak's settings
+constexpr milliseconds kEngineTimeoutSlack{150};  // by which an engine's timeout may exceed the client's
+constexpr milliseconds kRuleSlack{50};            // added to each time limit for the way through sockets
+constexpr milliseconds kMachineSlack{100};  // added as the test's threads and the processes share the cores
+// After SIGTERM clients still send on their open connections for so long.
+constexpr milliseconds kConnectionCloseDelay{600};
+constexpr milliseconds kCloseRaceWindow{50};  // in which a request and the close of its connection may cross
+// Until all controllers have read an event, also after the change log was down.
+constexpr milliseconds kChangeLogDelay{600};
+// Half of what an ideal policy serves that knows the true state; that one serves all requests at most.
 constexpr double kMinServedShare = 0.5;
-constexpr double kMinClassWeight = 0.05;  // of the requests: classes below are not judged by themselves
-// Slow start, as the settings of the soak have it.
+// Of all requests; a class with a smaller share is not checked on its own.
+constexpr double kMinClassWeight = 0.05;
+// Slow start, as in the soak's settings.
 constexpr double kEngineCores = 8;
 constexpr double kSlowStartInitialCapacity = 0.3;  // of an engine's capacity
 constexpr milliseconds kSlowStartDuration{5000};
 constexpr double kOverloadMultiple = 1;
 constexpr milliseconds kOverloadWindow{1000};
-constexpr double kSmallCallCount = 30;  // with fewer allowed, the slack is larger
+constexpr double kSmallCallCount = 30;  // where fewer calls are allowed, the slack is larger
 
-// Of calls that keep one core busy for `mean_work`.
+// How many calls that each take `mean_work` of one core an engine of this age may get in an overload window.
 double calls_allowed(Clock::duration age, Clock::duration mean_work) {
   using Seconds = std::chrono::duration<double>;
   const double warm = std::clamp(Seconds(age) / Seconds(kSlowStartDuration), 0.0, 1.0);
@@ -38,6 +41,7 @@
   return kOverloadMultiple * capacity * (Seconds(kOverloadWindow) / Seconds(mean_work));
 }
 
+// More calls than this count as an overload; the slack allows for random variation.
 double overload_threshold(double allowed) {
   const double root = std::sqrt(allowed);
   return allowed < kSmallCallCount ? allowed + 3 * root + 3 : allowed + 2 * root + 2;
@@ -266,7 +270,7 @@
   return out;
 }
 
-// The sum over all processes, once all of them have been told of the engine's start.
+// Checks the calls of all processes together, from when all of them must have read the engine's start.
 void SoakAudit::check_slow_start(const std::string& engine, Instant told,
                                  std::vector<std::string>& out) const {
   const bool log_was_down =
--- a/tests/soak/soak_audit.h
+++ b/tests/soak/soak_audit.h
@@ -1,5 +1,5 @@
-// What clients asked and engines were sent in a soak, and which of the rules it broke. Times are of the
-// monotonic clock of the test's own process.
+// Records what clients requested and what engines were sent in a soak, and finds the rules that were broken.
+// All times are from the steady clock of the test's own process.
 #pragma once
 
 #include <chrono>
@@ -27,7 +27,7 @@
   milliseconds repeat_window{0};
 };
 
-// Of a query at an engine, which is what an engine bills for it: so much of a core.
+// CPU time of a query on one core of an engine, which is also the cost that the engine reports for it.
 constexpr milliseconds kMinWork{10};
 constexpr milliseconds kMeanWork{90};
 
@@ -36,18 +36,20 @@
   Instant to;
 };
 
-// One process of a controller, from its start to its end.
+// One process of a controller, from its start to its end; safe to use from several threads.
 class ProcessRecord {
  public:
   explicit ProcessRecord(std::string name) : name_(std::move(name)) {}
   const std::string& name() const { return name_; }
-  void record_kill();  // outright: what it held is nobody's duty any more
+  void record_kill();  // by SIGKILL: requests that it held need no answer
   void record_stop_request();
-  // It ended by itself and counted no close over a request that it had read.
+  // It exited with code 0 and did not count a connection that it closed with a request it had read but not
+  // answered.
   void record_clean_close();
-  void record_pause(Interval at);  // stopped by a signal
+  void record_pause(Interval at);  // SIGSTOP to SIGCONT
   bool was_killed() const;
-  // A request that was written as its connection ended in a shutdown, and was not read.
+  // Whether a request may have been written just as its connection was closed in a shutdown, so that it was
+  // never read.
   bool unread_at_shutdown(Instant written_at, Instant ended_at) const;
   Clock::duration paused_time(Instant from, Instant to) const;
 
@@ -64,27 +66,27 @@
 
 class SoakAudit {
  public:
-  using RequestId = std::string;  // its reference
+  using RequestId = std::string;  // the request's reference
   using AttemptIndex = std::size_t;
 
-  // Clients.
+  // Called by clients.
   void record_request(const RequestId& id, const QueryClass& query_class, milliseconds timeout,
                       std::shared_ptr<const ProcessRecord> process);
   void record_answer(const RequestId& id, integration::FrontAnswer::Kind kind);
   void record_abandoned(const RequestId& id);
 
-  // Engines.
+  // Called by engines.
   AttemptIndex record_attempt(const RequestId& id, const std::string& engine, milliseconds engine_timeout);
   void record_poll(const RequestId& id, AttemptIndex attempt);
   void record_attempt_end(const RequestId& id, AttemptIndex attempt, AttemptEnd end);
-  void record_drain(const std::string& engine);  // told in the change log
+  void record_drain(const std::string& engine);  // the change log has announced it
   void record_change_log_outage(Interval at);
-  void record_machine_stall(Interval at);               // this test's own threads got no core
-  void record_engine_start(const std::string& engine);  // its start has been told in the change log
+  void record_machine_stall(Interval at);               // a thread of the test did not get a core
+  void record_engine_start(const std::string& engine);  // the change log has announced its start
 
-  // All that was broken, a line each.
+  // One line for each broken rule.
   std::vector<std::string> broken_rules() const;
-  // Of all requests, and of each class, that got less served than a gateway has to.
+  // One line if all requests together, and one for each class, had less than the minimum share served.
   std::vector<std::string> low_shares() const;
   std::string summary() const;
 
@@ -114,12 +116,13 @@
     double value() const { return asked > 0 ? static_cast<double>(served) / static_cast<double>(asked) : 1; }
   };
 
+  // When the attempt ended, or when the engine has dropped it because nobody polled, whichever is first.
   static Instant attempt_end_time(const Attempt& attempt);
-  // By class; those that left, and those of processes that were killed, are nobody's duty.
+  // By class, without abandoned requests and those of killed processes, which need no answer.
   std::map<std::string, Share> shares() const;
   std::vector<Instant> attempt_times(const std::string& engine, Instant from) const;
   void check_slow_start(const std::string& engine, Instant told, std::vector<std::string>& out) const;
-  // Of the request's process or of the machine.
+  // Pauses of the request's process and stalls of the machine that overlap the time.
   Clock::duration stalled_time(const Request& request, Instant from, Instant to) const;
   void check_request(const RequestId& id, const Request& request, std::vector<std::string>& out) const;
   void check_answer(const Request& request, std::vector<std::string>& out) const;
@@ -130,7 +133,7 @@
   mutable std::mutex mutex_;
   std::map<RequestId, Request> requests_;
   std::map<std::string, Instant> drain_announced_;
-  std::vector<std::pair<std::string, Instant>> engine_starts_;  // engine, when its start was told
+  std::vector<std::pair<std::string, Instant>> engine_starts_;  // engine, when its start was announced
   std::vector<Interval> change_log_outages_;
   std::vector<Interval> machine_stalls_;
 };
--- a/tests/soak/soak_client.cpp
+++ b/tests/soak/soak_client.cpp
@@ -10,10 +10,10 @@
 using integration::FrontAnswer;
 using integration::FrontClient;
 
-constexpr unsigned kMaxThinkTimeMs = 150;  // at most
+constexpr unsigned kMaxThinkTimeMs = 150;
 constexpr unsigned kMaxAbortDelayMs = 400;
-constexpr unsigned kReconnectOneIn = 10;  // before one request in so many
-constexpr unsigned kAbandonOneIn = 8;     // one request in so many is given up
+constexpr unsigned kReconnectOneIn = 10;  // the client reconnects before one request in so many
+constexpr unsigned kAbandonOneIn = 8;     // one request in so many is aborted or its connection closed
 constexpr unsigned kMinTimeoutMs = 60;
 constexpr unsigned kTables = 23;
 
@@ -27,7 +27,7 @@
       if (!client_) connect();
       if (!send_request()) client_.reset();
     } catch (const apache::thrift::TException&) {
-      client_.reset();  // it could not be reached: nothing was asked
+      client_.reset();  // the controller could not be reached: no request was recorded
     }
   }
 }
@@ -59,7 +59,7 @@
     const std::string table = "sales_" + std::to_string(random_() % kTables) + ".orders";
     client_->invoke(sequence_, fields, "select * from " + table);
   } catch (const apache::thrift::TException&) {
-    audit_.record_abandoned(id);  // not written whole
+    audit_.record_abandoned(id);  // not written completely
     return false;
   }
   if (random_() % kAbandonOneIn == 0) return abandon_request(id);
@@ -68,7 +68,7 @@
   return answer.kind != FrontAnswer::Kind::kClosed;
 }
 
-// An answer to a request that was aborted may have crossed the abort.
+// Skips answers to earlier requests: one may have crossed its abort.
 FrontAnswer SoakClient::receive() {
   FrontAnswer answer = client_->receive();
   while (answer.kind != FrontAnswer::Kind::kClosed && answer.sequence != sequence_)
@@ -78,7 +78,8 @@
 
 bool SoakClient::abandon_request(const SoakAudit::RequestId& id) {
   std::this_thread::sleep_for(milliseconds(random_() % kMaxAbortDelayMs));
-  bool still_connected = random_() % 2 == 0;  // else its close says that it left, whatever becomes of aborts
+  // Else the client disconnects, which must end the request even where aborts are not heeded.
+  bool still_connected = random_() % 2 == 0;
   try {
     if (still_connected) client_->abort(sequence_);
   } catch (const apache::thrift::TException&) {
--- a/tests/soak/soak_engine.cpp
+++ b/tests/soak/soak_engine.cpp
@@ -14,7 +14,7 @@
 constexpr milliseconds kPollHold{250};
 constexpr milliseconds kUnpolledQueryTimeout{2000};
 constexpr milliseconds kCheckInterval{5};
-constexpr double kFaultProbability = 0.4;  // of calls, while a fault is on
+constexpr double kFaultProbability = 0.4;  // that a call is affected, while a fault is on
 
 HttpReply served_with(HttpReply::Way way) {
   HttpReply out = integration::served("a\tb\tc\n");
@@ -63,7 +63,7 @@
 }
 
 HttpReply SoakEngine::answer(const HttpCall& call) {
-  const std::string id_in_path = call.path.size() > 6 ? call.path.substr(6, 16) : "";  // behind /v2/q/
+  const std::string id_in_path = call.path.size() > 6 ? call.path.substr(6, 16) : "";  // follows /v2/q/
   HttpReply out;
   if (call.method == "POST") {
     out = start(call);
@@ -82,7 +82,7 @@
   return out;
 }
 
-// Its end is being written now.
+// Called when the answer with the query's result is about to be sent.
 void SoakEngine::record_answer(const std::string& reference) {
   const std::lock_guard lock(mutex_);
   const auto it = running_.find(reference);
--- a/tests/soak/soak_engine.h
+++ b/tests/soak/soak_engine.h
@@ -1,5 +1,5 @@
-// An engine of the soak: runs queries for a drawn time, forgets what nobody asks for, and misbehaves on
-// demand.
+// An engine of the soak: runs each query for a random time, drops queries that nobody polls, and misbehaves
+// on demand.
 #pragma once
 
 #include <atomic>
@@ -22,8 +22,8 @@
   const std::string& id() const { return id_; }
   const std::string& address() const { return address_; }
   void set_fault(EngineFault fault) { fault_ = fault; }
-  void crash();    // connections are reset, its queries are gone
-  void restart();  // at the same address, after a crash
+  void crash();    // resets its connections and loses its queries
+  void restart();  // after a crash, at the same address
 
  private:
   struct RunningQuery {
--- a/tests/soak/soak_faults.cpp
+++ b/tests/soak/soak_faults.cpp
@@ -17,7 +17,7 @@
 
 constexpr std::int64_t kUsPerMs = 1000;
 constexpr std::int64_t kHourMs = 3'600'000;
-constexpr int kIdleClients = 400;  // idle clients: more than there are places
+constexpr int kIdleClients = 400;  // more than a controller has client slots
 constexpr unsigned kMaxPauseMs = 150;
 
 }  // namespace
@@ -96,14 +96,14 @@
   slot.process->signal(SIGHUP);
 }
 
-// Idle clients take all places of a controller; who comes meanwhile gets the place of one.
+// Idle clients take all client slots of a controller; a new client then evicts an idle one.
 void SoakFaults::add_idle_clients() {
   const std::string address = fleet_.address_of(fleet_.slot(random_slot()));
   std::vector<std::unique_ptr<FrontClient>> idle;
   try {
     for (int i = 0; i < kIdleClients; ++i) idle.push_back(std::make_unique<FrontClient>(address));
   } catch (const apache::thrift::TException&) {
-    return;  // the controller ends
+    return;  // the controller is shutting down
   }
   std::this_thread::sleep_for(random_duration(200, 1000));
 }
--- a/tests/soak/soak_faults.h
+++ b/tests/soak/soak_faults.h
@@ -1,4 +1,5 @@
-// Draws faults of a soak from a seed and makes them, one after the other; several of these overlap.
+// Injects random faults drawn from a seed, one after the other. A soak runs several of these at once, so that
+// faults overlap.
 #pragma once
 
 #include <atomic>
@@ -13,9 +14,10 @@
 
 class SoakFaults {
  public:
-  // With `crowds`, idle clients beyond a controller's places are among them.
+  // With `with_idle_clients`, the faults include more idle clients than a controller has client slots.
   SoakFaults(SoakFleet& fleet, unsigned seed, bool with_idle_clients);
 
+  // Injects faults until `end` and adds their number to `fault_count`.
   void run(Instant end, std::atomic<int>& fault_count);
 
  private:
@@ -26,6 +28,7 @@
 
   const FaultKind& draw();
   std::size_t random_slot() { return random_() % fleet_.size(); }
+  // At least `min_ms`, less than `min_ms + range_ms`.
   milliseconds random_duration(unsigned min_ms, unsigned range_ms);
   void step_wall_clock();
   void fail_system_calls();
--- a/tests/soak/soak_fleet.cpp
+++ b/tests/soak/soak_fleet.cpp
@@ -16,14 +16,14 @@
 using integration::ControllerOptions;
 using integration::ControllerProcess;
 
-// Sanitized processes are slower by several times: so many hold real time on eight cores.
+// Sanitized processes are several times slower; eight of them keep up with real time on eight cores.
 #ifdef __SANITIZE_ADDRESS__
 constexpr int kControllers = 8;
 #else
 constexpr int kControllers = 24;
 #endif
 constexpr int kEngines = 8;
-constexpr milliseconds kMaxDeadline{3000};  // of the classes below
+constexpr milliseconds kMaxDeadline{3000};  // of the query classes below
 constexpr std::chrono::seconds kMaxStartTime{10};
 constexpr int kMoreSignals = 4;
 constexpr milliseconds kMoreSignalsInterval{60};
@@ -168,7 +168,8 @@
   for (auto& thread : stopping) thread.join();
 }
 
-// SIGKILL comes at the earliest moment that the operators' page allows.
+// Stops a process as operators do: SIGTERM, then SIGKILL at the earliest moment that the operators' page
+// allows.
 void SoakFleet::stop(ControllerProcess& process, ProcessRecord& record) {
   record.record_stop_request();
   const integration::Shutdown shutdown = integration::shut_down(process, kMaxDeadline);
--- a/tests/soak/soak_fleet.h
+++ b/tests/soak/soak_fleet.h
@@ -1,4 +1,5 @@
-// The controllers, engines and change log of a soak, and what went wrong with them besides the rules.
+// The controllers, engines and change log of a soak, and the problems with them that are not a matter of the
+// audit.
 #pragma once
 
 #include <atomic>
@@ -18,16 +19,16 @@
 
 namespace orchidgw::soak {
 
-// The classes of the controllers' settings.
+// The query classes in the controllers' settings.
 const std::vector<QueryClass>& query_classes();
 
-// A controller's place: the process that clients are sent to now.
+// One controller of the fleet: the process that clients connect to now, which restarts replace.
 struct ControllerSlot {
-  std::mutex mutex;  // of process and record
+  std::mutex mutex;  // guards process and record
   std::shared_ptr<integration::ControllerProcess> process;
   std::shared_ptr<ProcessRecord> record;
   std::unique_ptr<faults::FaultSwitch> faults = std::make_unique<faults::FaultSwitch>();
-  std::mutex fault_mutex;  // one fault at a time ends or stops a process
+  std::mutex fault_mutex;  // held by the one fault that ends, pauses or reloads the process
 };
 
 class SoakFleet {
@@ -38,22 +39,25 @@
   ControllerSlot& slot(std::size_t i) { return *slots_[i]; }
   std::string address_of(ControllerSlot& slot);
 
-  // Starts a process in that place, on an address of its own; clients come to it from then on.
+  // Starts a process in slot `i`, at an address of its own; clients connect to it from then on.
   void start(std::size_t i);
   void kill_and_restart(std::size_t i);
-  // SIGTERM, perhaps amid other signals, with a new process in its place before the old one ends.
+  // Sends SIGTERM, with `with_more_signals` SIGHUP and further SIGTERMs too, and starts the replacement while
+  // the old process still shuts down.
   void restart(std::size_t i, bool with_more_signals, milliseconds replacement_delay);
   void stop_all();
 
   std::shared_ptr<SoakEngine> random_engine(std::mt19937& random);
-  // One engine at a time is gone, so these draw theirs when it is their turn.
+  // Only one engine at a time is away: these wait for their turn and then draw their engine.
   void crash_engine(std::mt19937& random, milliseconds outage);
   void replace_engine(std::mt19937& random, milliseconds drain_duration);
   void fail_change_log(milliseconds outage);
 
   int started_processes() const { return started_processes_; }
+  // One line for each crash, failed or slow start, failed shutdown or violation in a log.
   std::vector<std::string> problems() const;
-  // Counters of requests that the reducer's own watch failed, and of clients put out for newcomers.
+  // Log lines with counters of overdue requests, which the reducer failed itself, and of clients evicted for
+  // new ones.
   std::string notable_counters() const;
 
  private:
@@ -72,11 +76,11 @@
   std::mutex engine_change_mutex_;
   std::map<std::string, std::string> members_;
   std::vector<std::shared_ptr<SoakEngine>> engines_;
-  std::vector<std::shared_ptr<SoakEngine>> retired_;  // drained: their last queries may still run
+  std::vector<std::shared_ptr<SoakEngine>> retired_;  // drained; their last queries may still run
   std::vector<std::unique_ptr<ControllerSlot>> slots_;
   std::atomic<int> started_processes_{0};
   std::atomic<int> created_engines_{0};
-  mutable std::mutex mutex_;  // of what follows
+  mutable std::mutex mutex_;  // guards the members below
   std::vector<std::thread> stopping_;
   std::vector<std::string> problems_;
   std::string notable_counters_;
--- a/tests/soak/soak_test.cpp
+++ b/tests/soak/soak_test.cpp
@@ -1,6 +1,7 @@
-// A few dozen controllers under random faults that overlap, judged by the rules (docs/faults.md). The seed is
-// the test's parameter; ORCHIDGW_SOAK_SEEDS=FIRST-LAST and ORCHIDGW_SOAK_SECONDS play others (`make soak`),
-// ORCHIDGW_SOAK_PROGRAM another build of the program.
+// Runs a few dozen controllers under random overlapping faults and checks the rules (docs/faults.md): guards
+// against lost answers, exceeded deadlines, duplicate runs and too many refusals when faults come together.
+// The seed is the test's parameter; ORCHIDGW_SOAK_SEEDS=FIRST-LAST and ORCHIDGW_SOAK_SECONDS
+// set other seeds and another length (`make soak`), ORCHIDGW_SOAK_PROGRAM another build of the program.
 #include <gtest/gtest.h>
 
 #include <atomic>
@@ -16,17 +17,18 @@
 namespace orchidgw::soak {
 namespace {
 
-// Sanitized processes are slower by several times.
+// Sanitized processes are several times slower.
 #ifdef __SANITIZE_ADDRESS__
 constexpr unsigned kFaultThreads = 4;
 #else
 constexpr unsigned kFaultThreads = 9;
 #endif
 constexpr std::size_t kClientsPerController = 2;
-constexpr unsigned kIdleClientsOneIn = 3;  // one in so many has crowds
+constexpr unsigned kIdleClientsOneIn = 3;  // one seed in so many has idle clients
 
-// Where this machine has no core for a thread that only sleeps, it has none for the others either: that
-// time is laid on nobody. `mutants.sh` asks whether faults are hidden by it.
+// Records when the machine is stalled: if a thread that only sleeps wakes late, the other threads and
+// processes had no core either, so the audit doesn't count that time. `mutants.sh` checks that this hides no
+// faults.
 void record_machine_stalls(SoakAudit& audit, Instant end) {
   constexpr milliseconds kPause{5};
   constexpr milliseconds kMinStall{20};
@@ -38,7 +40,7 @@
   }
 }
 
-// Plays clients and faults until then; the count of faults.
+// Runs clients and faults until `end`; returns the number of injected faults.
 int run_soak(SoakAudit& audit, SoakFleet& fleet, unsigned seed, Instant end) {
   std::atomic<int> faults{0};
   std::vector<std::thread> threads;
--- a/tests/soak/start_test.cpp
+++ b/tests/soak/start_test.cpp
@@ -1,9 +1,8 @@
-// A start whose first system calls fail.
-//
-// What happened (issue 45): a soak ended as a controller did not start: its socket(2) had failed once with
-// ENOBUFS. The start asked once for its listener, and so for each of its other descriptors, files and locks.
-// Now a start that lacks something that others give back is tried again as a whole (`net/start_retry.h`), by
-// the table of errors that service uses as well (`base/system_call.h`).
+// Guards against a start that fails because one system call failed for a moment (issue 45): in a soak a
+// controller did not start because its socket(2) failed once with ENOBUFS. The listener was tried only once,
+// as were the other descriptors, files and locks. A start that lacks a resource that may become free is
+// retried as a whole (`net/start_retry.h`), by the same classes of errors as later system calls
+// (`base/system_call.h`).
 #include <gtest/gtest.h>
 #include <signal.h>
 #include <unistd.h>
@@ -27,7 +26,7 @@
 
 constexpr std::uint32_t kEveryCall = 1'000'000;
 
-// socket(2) fails for 0.3 s for want of resources (EMFILE, ENFILE, ENOBUFS, ENOMEM), then no more.
+// socket(2) fails for 0.3 s because resources are exhausted (EMFILE, ENFILE, ENOBUFS, ENOMEM), then succeeds.
 TEST(Start, ASocketThatCanNotBeHadAtOnceIsAskedForAgain) {
   constexpr std::uint32_t kAlways = 1'000'000;
   faults::FaultSwitch faults;
@@ -82,7 +81,8 @@
   std::filesystem::path folder;
 };
 
-// With a folder of intents and an administration socket: every call of a start is among those that fail.
+// Starts with an intents folder and an administration socket, so that the start makes each call that can
+// fail.
 TEST_P(StartWhereCallsFail, ItIsTriedAgainAndServes) {
   faults.set_rate(GetParam(), kEveryCall);
   std::thread end_of_fault([this] {
@@ -101,7 +101,8 @@
   EXPECT_GT(faults.made(GetParam()), 1U);
 }
 
-// For the whole time that a restart has: it ends with one line that says which call, why and how often.
+// The call fails for as long as a restart may take: the process ends with one line that names the call, the
+// error and the number of tries.
 TEST_P(StartWhereCallsFail, ItEndsWithOneLineWhereTheyFailOnAndOn) {
   constexpr std::chrono::seconds kMaxStartTime{10};
   faults.set_rate(GetParam(), kEveryCall);
@@ -141,8 +142,7 @@
                                            CallFault::kLockFails),
                          [](const auto& tested) { return call_name(tested.param); });
 
-// Guards against a configuration that is not taken over for good, as its file could not be opened for a
-// moment.
+// Guards against a new configuration that is never applied because its file could not be opened for a moment.
 TEST(Reload, AFileThatCanNotBeOpenedForAMomentIsReadAgain) {
   faults::FaultSwitch faults;
   ControllerOptions options;
