--- a/bench/service_days.cpp
+++ b/bench/service_days.cpp
@@ -54,8 +54,8 @@
 
 struct Day {
   const char* name;
-  std::function<double(std::size_t kind, bool disturbed)>
-      rate;  // arrival rate as a multiple of that on a calm day
+  // Arrival rate as a multiple of that on a calm day.
+  std::function<double(std::size_t kind, bool disturbed)> rate;
   std::function<double(int engine, bool disturbed)> speed;  // of an engine; 1 on a calm day
 };
 
@@ -337,9 +337,8 @@
   };
   constexpr int kSeeds = 5;
   std::cout << std::fixed << std::setprecision(3);
-  std::cout
-      << "day                              levels  value/offered  loads on time  refused  shed  failed  "
-         "changes\n";
+  std::cout << "day                              levels  worth/offered  loads in aim  refused  shed  failed  "
+               "changes\n";
   for (const Day& day : days) {
     for (const bool levels : {false, true}) {
       Result sum;
--- a/tests/fleet/fleet_sizes.cpp
+++ b/tests/fleet/fleet_sizes.cpp
@@ -46,7 +46,7 @@
   shape.use_relays = controllers <= 20;
   FleetHarness fleet(shape);
   fleet.start_all();
-  if (!fleet.wait_fully_leased(all_but(controllers))) std::cout << "not fully leased in time\n";
+  if (!fleet.wait_fully_leased(all_but(controllers))) std::cout << "never fully leased\n";
   Samples part, join, kill, pause, cut, cpu, sent, bytes;
   const int last = controllers - 1;
   for (int round = 0; round < rounds; ++round) {
--- a/tests/fleet/power_return.cpp
+++ b/tests/fleet/power_return.cpp
@@ -55,7 +55,7 @@
   fleet.start_all();
   std::vector<int> all(static_cast<std::size_t>(controllers));
   std::iota(all.begin(), all.end(), 0);
-  if (!fleet.wait_fully_leased(all)) std::cout << "not fully leased in time\n";
+  if (!fleet.wait_fully_leased(all)) std::cout << "never fully leased\n";
   fleet.kill_all();
   const std::int64_t power_loss_at = wall_ms();
   fleet.start_all();
@@ -112,7 +112,7 @@
               << std::string(static_cast<std::size_t>(in / 4), '#') << '\n';
   }
   std::cout << "ramp " << ramp_ms / 1'000 << " s: " << overloaded_windows
-            << " half seconds in which engines in slow start are overloaded" << std::endl;
+            << " half seconds in which cold engines are overloaded" << std::endl;
 }
 
 }  // namespace
