--- a/tests/fleet/fleet_keys_test.cpp
+++ b/tests/fleet/fleet_keys_test.cpp
@@ -180,10 +180,11 @@
   fleet->kill_all();
   fleet->lose_store(1);
   fleet->lose_store(2);
-  const auto [asked, told] = fleet->recover(0, {"--lost", "2,3"});
+  const auto [asked, warning] = fleet->recover(0, {"--lost", "2,3"});
   EXPECT_EQ(asked, 0);
-  EXPECT_NE(told.find("what the lost keepers agreed on behind it is not known"), std::string::npos) << told;
-  EXPECT_NE(told.find("nothing was changed: --confirm test does it"), std::string::npos) << told;
+  EXPECT_NE(warning.find("what the lost keepers agreed on behind it is not known"), std::string::npos)
+      << warning;
+  EXPECT_NE(warning.find("nothing was changed: --confirm test does it"), std::string::npos) << warning;
   EXPECT_EQ(fleet->recover(0, {"--lost", "2", "--confirm", "test"}).first, 1);
   const auto [done, said] = fleet->recover(0, {"--lost", "2,3", "--confirm", "test"});
   EXPECT_EQ(done, 0) << said;
--- a/tests/soak/soak_audit.cpp
+++ b/tests/soak/soak_audit.cpp
@@ -190,22 +190,22 @@
 
 void SoakAudit::check_attempt(const Request& request, const Attempt& attempt,
                               std::vector<std::string>& out) const {
-  const auto still = stalled_time(request, request.sent_at, attempt.at);
-  if (request.abandoned_at && attempt.at > *request.abandoned_at + kAbortGrace + kMachineSlack + still)
+  const auto stalled = stalled_time(request, request.sent_at, attempt.at);
+  if (request.abandoned_at && attempt.at > *request.abandoned_at + kAbortGrace + kMachineSlack + stalled)
     out.push_back("lost: started " + ms(attempt.at - *request.abandoned_at) + " after its client left");
   const auto remaining = request.sent_at + request.timeout - attempt.at;
-  if (attempt.engine_timeout > remaining + kEngineTimeoutSlack + kMachineSlack + still)
+  if (attempt.engine_timeout > remaining + kEngineTimeoutSlack + kMachineSlack + stalled)
     out.push_back("deadline: the engine was told " + ms(attempt.engine_timeout) + " with " + ms(remaining) +
                   " left");
   const auto drain = drain_announced_.find(attempt.engine);
   if (drain == drain_announced_.end()) return;
-  const Instant told = drain->second;
+  const Instant announced_at = drain->second;
   const bool log_was_down =
       std::any_of(change_log_outages_.begin(), change_log_outages_.end(), [&](const Interval& down) {
-        return overlaps({down.from, down.to + kChangeLogDelay}, told, attempt.at);
+        return overlaps({down.from, down.to + kChangeLogDelay}, announced_at, attempt.at);
       });
-  if (!log_was_down && attempt.at > told + kDrainGrace + kRuleSlack + kMachineSlack + still)
-    out.push_back("drain: started " + ms(attempt.at - told) + " after the drain was told");
+  if (!log_was_down && attempt.at > announced_at + kDrainGrace + kRuleSlack + kMachineSlack + stalled)
+    out.push_back("drain: started " + ms(attempt.at - announced_at) + " after the drain was told");
 }
 
 void SoakAudit::check_second_attempt(const Request& request, const Attempt& earlier, const Attempt& later,
@@ -257,7 +257,7 @@
   const std::lock_guard lock(mutex_);
   std::vector<std::string> out;
   for (const auto& [id, request] : requests_) check_request(id, request, out);
-  for (const auto& [engine, told] : engine_starts_) check_slow_start(engine, told, out);
+  for (const auto& [engine, announced_at] : engine_starts_) check_slow_start(engine, announced_at, out);
   return out;
 }
 
@@ -271,21 +271,22 @@
 }
 
 // Checks the calls of all processes together, from when all of them must have read the engine's start.
-void SoakAudit::check_slow_start(const std::string& engine, Instant told,
+void SoakAudit::check_slow_start(const std::string& engine, Instant announced_at,
                                  std::vector<std::string>& out) const {
-  const bool log_was_down =
-      std::any_of(change_log_outages_.begin(), change_log_outages_.end(),
-                  [&](const Interval& down) { return overlaps(down, told, told + kSlowStartDuration); });
+  const bool log_was_down = std::any_of(
+      change_log_outages_.begin(), change_log_outages_.end(),
+      [&](const Interval& down) { return overlaps(down, announced_at, announced_at + kSlowStartDuration); });
   if (log_was_down) return;
-  const std::vector<Instant> attempts = attempt_times(engine, told + kChangeLogDelay);
-  for (std::size_t from = 0, to = 0; to < attempts.size() && attempts[to] < told + kSlowStartDuration; ++to) {
+  const std::vector<Instant> attempts = attempt_times(engine, announced_at + kChangeLogDelay);
+  for (std::size_t from = 0, to = 0; to < attempts.size() && attempts[to] < announced_at + kSlowStartDuration;
+       ++to) {
     while (attempts[from] + kOverloadWindow <= attempts[to]) ++from;
     const auto calls = static_cast<double>(to - from + 1);
-    const double allowed = calls_allowed(attempts[to] - told, kMeanWork);
+    const double allowed = calls_allowed(attempts[to] - announced_at, kMeanWork);
     if (calls <= overload_threshold(allowed)) continue;
     std::ostringstream line;
     line << "failback: " << calls << " calls within " << ms(kOverloadWindow) << " at " << engine << ", "
-         << ms(attempts[to] - told) << " after its start, which allows " << allowed;
+         << ms(attempts[to] - announced_at) << " after its start, which allows " << allowed;
     return out.push_back(line.str());
   }
 }
--- a/tests/soak/soak_audit.h
+++ b/tests/soak/soak_audit.h
@@ -121,7 +121,7 @@
   // By class, without abandoned requests and those of killed processes, which need no answer.
   std::map<std::string, Share> shares() const;
   std::vector<Instant> attempt_times(const std::string& engine, Instant from) const;
-  void check_slow_start(const std::string& engine, Instant told, std::vector<std::string>& out) const;
+  void check_slow_start(const std::string& engine, Instant announced_at, std::vector<std::string>& out) const;
   // Pauses of the request's process and stalls of the machine that overlap the time.
   Clock::duration stalled_time(const Request& request, Instant from, Instant to) const;
   void check_request(const RequestId& id, const Request& request, std::vector<std::string>& out) const;
--- a/tests/soak/soak_engine.cpp
+++ b/tests/soak/soak_engine.cpp
@@ -92,19 +92,19 @@
 HttpReply SoakEngine::start(const HttpCall& call) {
   const std::string reference = call.headers.at("Call-Id");
   const milliseconds timeout(std::stol(call.headers.at("Call-Ms")));
-  const auto number = audit_.record_attempt(reference, id_, timeout);
+  const auto attempt = audit_.record_attempt(reference, id_, timeout);
   if (fault_ == EngineFault::kFull && draw(kFaultProbability)) {
-    audit_.record_attempt_end(reference, number, AttemptEnd::kNotStarted);
+    audit_.record_attempt_end(reference, attempt, AttemptEnd::kNotStarted);
     return full_reply();
   }
   {
     const std::lock_guard lock(mutex_);
     std::exponential_distribution<double> work(1.0 / static_cast<double>((kMeanWork - kMinWork).count()));
     const milliseconds duration = kMinWork + milliseconds(static_cast<long>(work(random_)));
-    running_[reference] = {number, duration, Clock::now() + duration, Clock::now(), false};
+    running_[reference] = {attempt, duration, Clock::now() + duration, Clock::now(), false};
   }
   if (fault_ == EngineFault::kFails && draw(kFaultProbability)) {
-    audit_.record_attempt_end(reference, number, AttemptEnd::kAnswered);
+    audit_.record_attempt_end(reference, attempt, AttemptEnd::kAnswered);
     const std::lock_guard lock(mutex_);
     running_.erase(reference);
     return reply(500);
