--- a/src/budget/arbiter.cpp
+++ b/src/budget/arbiter.cpp
@@ -6,32 +6,32 @@
 namespace orchidgw::budget {
 namespace {
 
-constexpr std::size_t kWaitingMost = 8192;  // asks of members and of strangers
-constexpr std::size_t kEntryMost = 512;     // asks agreed on in one step: bounds an entry's size
+constexpr std::size_t kMaxQueuedRequests = 8192;   // from members and from processes that are not members
+constexpr std::size_t kMaxRequestsPerEntry = 512;  // bounds the size of a log entry
 
 }  // namespace
 
 void Arbiter::lead(TimeUs now, const Ledger& ledger) {
-  follow();  // nothing of an earlier leadership
+  follow();  // drops the state of an earlier leadership
   leads_ = true;
   for (const auto& [key, member] : ledger.members())
     running_[key] = {member.number, now + Terms::surely_over_after(member.term, ledger.terms().drift_ppm)};
-  if (ledger.terms().revision == 0 && wanted_)
-    not_before_ = now + Terms::surely_over_after(wanted_->term, wanted_->drift_ppm);
+  if (ledger.terms().revision == 0 && own_terms_)
+    not_before_ = now + Terms::surely_over_after(own_terms_->term, own_terms_->drift_ppm);
 }
 
 void Arbiter::follow() {
   leads_ = false;
-  step_at_.reset();
+  next_ramp_step_at_.reset();
   not_before_ = 0;
-  asks_.clear();
+  requests_.clear();
   running_.clear();
 }
 
-bool Arbiter::asked(Ask ask) {
-  const auto it = asks_.find(ask.from);
-  if (it == asks_.end() && asks_.size() >= kWaitingMost) return false;
-  if (it == asks_.end() || it->second.seq < ask.seq) asks_[ask.from] = std::move(ask);
+bool Arbiter::asked(Ask request) {
+  const auto it = requests_.find(request.from);
+  if (it == requests_.end() && requests_.size() >= kMaxQueuedRequests) return false;
+  if (it == requests_.end() || it->second.seq < request.seq) requests_[request.from] = std::move(request);
   return true;
 }
 
@@ -40,31 +40,32 @@
   if (now < not_before_) return std::nullopt;
   not_before_ = 0;
   Entry out;
-  if (wanted_ && wanted_->revision > ledger.terms().revision) out.terms.push_back(*wanted_);
+  if (own_terms_ && own_terms_->revision > ledger.terms().revision) out.terms.push_back(*own_terms_);
   for (const auto& [key, running] : running_)
-    if (running.over_at <= now) out.expired.push_back({key, running.number});
+    if (running.expires_at <= now) out.expired.push_back({key, running.number});
   if (ledger.terms().revision > 0 || !out.terms.empty()) {
-    while (!asks_.empty() && out.asks.size() < kEntryMost) {
-      out.asks.push_back(std::move(asks_.begin()->second));
-      asks_.erase(asks_.begin());
+    while (!requests_.empty() && out.asks.size() < kMaxRequestsPerEntry) {
+      out.asks.push_back(std::move(requests_.begin()->second));
+      requests_.erase(requests_.begin());
     }
   }
-  if (const auto level = next_level(now, ledger)) out.level.push_back(*level);
+  if (const auto level = next_ramp_level(now, ledger)) out.level.push_back(*level);
   if (out.empty()) return std::nullopt;
   return out;
 }
 
-// The ramp's next step, agreed on as all else is; the ledger itself falls to the first.
-std::optional<Parts> Arbiter::next_level(TimeUs now, const Ledger& ledger) {
+// Returns the next level of the ramp when it is due. Levels are raised by log entries; the ledger itself
+// lowers the level to the first step.
+std::optional<Parts> Arbiter::next_ramp_level(TimeUs now, const Ledger& ledger) {
   const TimeUs step = ledger.terms().ramp / kRampSteps;
   if (ledger.level() == kFullLevel) {
-    step_at_.reset();
+    next_ramp_step_at_.reset();
     return std::nullopt;
   }
-  if (!step_at_) step_at_ = now + step;
-  if (now < *step_at_) return std::nullopt;
-  step_at_ = now + step;
-  if (step == 0) return kFullLevel;  // the ramp was taken out of the file meanwhile
+  if (!next_ramp_step_at_) next_ramp_step_at_ = now + step;
+  if (now < *next_ramp_step_at_) return std::nullopt;
+  next_ramp_step_at_ = now + step;
+  if (step == 0) return kFullLevel;  // the ramp was removed from the file meanwhile
   return std::min(ledger.level() + kFullLevel / kRampSteps, kFullLevel);
 }
 
@@ -72,22 +73,23 @@
   if (!leads_) return;
   for (const Grant& grant : grants) {
     if (grant.kind != Grant::Kind::kLease) continue;
-    const TimeUs over_at = now + Terms::surely_over_after(grant.term, ledger.terms().drift_ppm);
-    Running& running = running_[grant.to];
-    // Guards against a shorter term that would end an earlier, longer lease.
-    running = {grant.number, std::max(running.over_at, over_at)};
+    const TimeUs expires_at = now + Terms::surely_over_after(grant.term, ledger.terms().drift_ppm);
+    RunningLease& running = running_[grant.to];
+    // A renewal with a shorter term must not end an earlier, longer lease early.
+    running = {grant.number, std::max(running.expires_at, expires_at)};
   }
-  // Each member is among those that run, so that any more of these are members no longer.
+  // Every member has a running lease, so any surplus leases belong to processes that are no longer members.
   if (running_.size() > ledger.members().size())
-    std::erase_if(running_, [&](const auto& one) { return !ledger.members().contains(one.first); });
+    std::erase_if(running_, [&](const auto& lease) { return !ledger.members().contains(lease.first); });
 }
 
 std::optional<TimeUs> Arbiter::next_due() const {
   std::optional<TimeUs> due;
   if (!leads_) return due;
   if (not_before_ > 0) due = not_before_;
-  if (step_at_) due = std::min(due.value_or(*step_at_), *step_at_);
-  for (const auto& [key, running] : running_) due = std::min(due.value_or(running.over_at), running.over_at);
+  if (next_ramp_step_at_) due = std::min(due.value_or(*next_ramp_step_at_), *next_ramp_step_at_);
+  for (const auto& [key, running] : running_)
+    due = std::min(due.value_or(running.expires_at), running.expires_at);
   return due;
 }
 
--- a/src/budget/arbiter.h
+++ b/src/budget/arbiter.h
@@ -1,12 +1,13 @@
-// The leading keeper's own part, which is not agreed on: it gathers asks into entries, and says when a lease
-// is over by its clock. No I/O, no clock; times are on this keeper's clock and mean nothing to another.
+// The leading keeper's local state, which is not replicated: it batches lease requests into log entries and
+// decides by its own clock when a lease has expired. No I/O, no clock of its own; times are on this keeper's
+// clock and are not comparable with another keeper's.
 //
-// A new leader does not know when the leases before it were put in force: it counts all of them from when it
-// knows that it leads and has all that was agreed on before. Each of them was asked for earlier than that, so
-// none of them outlives its count here.
+// A new leader does not know when earlier leases were applied. It starts the term of each of them when it
+// knows that it leads and has applied all entries committed before. Each lease was requested earlier than
+// that, so none of them can still be running when its term ends here.
 //
-// A log without terms is new: the one before it may be lost with its disks, and its leases may be out. Their
-// longest term is waited out before anything is granted.
+// A log without terms is new: an earlier log may have been lost with its disks while its leases still run.
+// Nothing is granted before the longest term of those leases has passed.
 #pragma once
 
 #include <map>
@@ -19,38 +20,42 @@
 
 class Arbiter {
  public:
-  // From now on this keeper leads; `ledger` has all entries up to its election.
+  // This keeper leads from now on; `ledger` must have all entries committed before its election.
   void lead(TimeUs now, const Ledger& ledger);
-  void follow();  // it leads no more: what was gathered is asked for again elsewhere
+  // This keeper no longer leads. Queued requests are dropped; their senders repeat them at another keeper.
+  void follow();
   bool leads() const { return leads_; }
 
-  // False: too many wait already. Of a member's asks the newest alone is kept.
-  bool asked(Ask ask);
-  void wants(const Terms& terms) { wanted_ = terms; }  // put to all if newer than what is agreed on
+  // Queues a lease request; only the newest one of each member is kept. Returns false if the queue is full.
+  bool asked(Ask request);
+  // Sets the terms of this keeper's file, which are proposed if they are newer than the agreed ones.
+  void wants(const Terms& terms) { own_terms_ = terms; }
 
-  // What is to be agreed on next; to be called while no entry is on its way, as `next_due`.
+  // Returns the next entry to propose, if any. To be called, like `next_due`, only while no proposed entry is
+  // pending.
   std::optional<Entry> next(TimeUs now, const Ledger& ledger);
-  // An entry was applied here, this keeper's or an earlier leader's: its leases are in force from now.
+  // An entry, of this keeper or of an earlier leader, was applied here: the terms of `grants` start now.
   void applied(TimeUs now, const Ledger& ledger, const std::vector<Grant>& grants);
 
+  // When `next` has to be called again even if nothing arrives; none: no need.
   std::optional<TimeUs> next_due() const;
-  // Asks wait: leases of a log that is lost may still be out.
+  // Nothing is granted yet because leases of a lost log may still be running.
   bool waits_out() const { return not_before_ > 0; }
 
  private:
-  struct Running {
+  struct RunningLease {
     std::uint64_t number = 0;
-    TimeUs over_at = 0;
+    TimeUs expires_at = 0;
   };
 
-  std::optional<Parts> next_level(TimeUs now, const Ledger& ledger);
+  std::optional<Parts> next_ramp_level(TimeUs now, const Ledger& ledger);
 
   bool leads_ = false;
-  std::optional<Terms> wanted_;
-  std::map<MemberKey, Ask> asks_;
-  std::map<MemberKey, Running> running_;
-  TimeUs not_before_ = 0;          // of the first terms of a new log, until they are due; else 0
-  std::optional<TimeUs> step_at_;  // of the ramp
+  std::optional<Terms> own_terms_;
+  std::map<MemberKey, Ask> requests_;
+  std::map<MemberKey, RunningLease> running_;
+  TimeUs not_before_ = 0;  // on a new log, the earliest time for its first entry; 0: no restriction
+  std::optional<TimeUs> next_ramp_step_at_;
 };
 
 }  // namespace orchidgw::budget
--- a/src/budget/divide.h
+++ b/src/budget/divide.h
@@ -10,12 +10,13 @@
 
 struct Claim {
   Parts demand = 0;
-  Parts least = 0;  // before any demand is met
+  Parts least = 0;  // served before any demand
   std::int64_t weight = 1;
 };
 
-// The part of each claim: sums to `pool` exactly where there is a claim. Nobody gets more than its demand
-// while another lacks some of its own; what no demand needs is spread by weight.
+// Returns the part of each claim, in their order. The parts sum to exactly `pool` if there is a claim. No
+// claim gets more than its demand (or its `least`, if that is more) while the demand of another is not met;
+// what remains after all demands is spread by weight.
 std::vector<Parts> divide(Parts pool, const std::vector<Claim>& claims);
 
 }  // namespace orchidgw::budget
--- a/src/budget/holder.cpp
+++ b/src/budget/holder.cpp
@@ -5,85 +5,90 @@
 namespace orchidgw::budget {
 namespace {
 
-constexpr std::size_t kAsksKept = 16;  // an answer to an earlier one is of no use any more
+constexpr std::size_t kRequestsKept = 16;  // an answer to an earlier request is ignored
 
-Parts at_or_none(const std::vector<Parts>& parts, std::size_t a) { return a < parts.size() ? parts[a] : 0; }
+Parts value_or_zero(const std::vector<Parts>& parts, std::size_t a) {
+  return a < parts.size() ? parts[a] : 0;
+}
 
 }  // namespace
 
-void Holder::resize() {
+void Holder::reset_parts() {
   parts_.assign(terms_.allowances.size(), 0);
   held_.assign(terms_.allowances.size(), 0);
 }
 
 void Holder::drop_lease() {
-  stopped_ = true;
+  dropped_ = true;
   std::fill(parts_.begin(), parts_.end(), 0);
 }
 
 Ask Holder::ask(TimeUs now, std::vector<Parts> demand, const std::vector<Parts>& in_use) {
-  Ask out;
-  out.from = self_;
-  out.seq = ++seq_;
-  out.revision = terms_.revision;
-  out.acked = number_;
-  out.leaving = leaving_;
-  asked_.emplace_back(out.seq, now);
-  if (asked_.size() > kAsksKept) asked_.pop_front();
+  Ask request;
+  request.from = self_;
+  request.seq = ++seq_;
+  request.revision = terms_.revision;
+  request.acked = number_;
+  request.leaving = leaving_;
+  sent_requests_.emplace_back(request.seq, now);
+  if (sent_requests_.size() > kRequestsKept) sent_requests_.pop_front();
   for (std::size_t a = 0; a < parts_.size(); ++a) {
-    // What was held falls to what is in use, never below the lease and never rises by use alone.
+    // What is held falls to what is in use, but not below the lease; use alone never raises it.
     const Parts lease = leased(now) ? parts_[a] : 0;
-    held_[a] = std::max(lease, std::min(held_[a], at_or_none(in_use, a)));
+    held_[a] = std::max(lease, std::min(held_[a], value_or_zero(in_use, a)));
   }
-  out.held = held_;
-  demand.resize(parts_.size(), 0);
-  out.demand = std::move(demand);
-  owes_ = false;
-  return out;
+  request.held = held_;
+  demand.reset_parts(parts_.size(), 0);
+  request.demand = std::move(demand);
+  must_acknowledge_ = false;
+  return request;
 }
 
-std::optional<TimeUs> Holder::asked_at(std::uint64_t seq) const {
-  for (const auto& [one, at] : asked_)
-    if (one == seq) return at;
+std::optional<TimeUs> Holder::requested_at(std::uint64_t seq) const {
+  for (const auto& [sent_seq, at] : sent_requests_)
+    if (sent_seq == seq) return at;
   return std::nullopt;
 }
 
-void Holder::take(const Terms& terms) {
-  // The keepers' terms hold, older ones too: guards against a member whose file came before the keepers',
-  // which would have no lease until theirs is there. Late answers are sorted out by their number.
+void Holder::adopt_terms(const Terms& terms) {
+  // The keepers' terms apply even if they are older than the own file's: otherwise a member whose file was
+  // updated before the keepers' would have no lease until theirs is updated. Late answers are rejected by
+  // their lease number.
   if (terms.revision == terms_.revision) return;
   std::vector<Parts> held(terms.allowances.size(), 0);
-  for (std::size_t n = 0; n < held.size(); ++n)
-    for (std::size_t o = 0; o < held_.size(); ++o)
-      if (terms_.allowances[o].name == terms.allowances[n].name) held[n] = held_[o];
+  for (std::size_t new_index = 0; new_index < held.size(); ++new_index)
+    for (std::size_t old_index = 0; old_index < held_.size(); ++old_index)
+      if (terms_.allowances[old_index].name == terms.allowances[new_index].name)
+        held[new_index] = held_[old_index];
   terms_ = terms;
   held_ = std::move(held);
   parts_.assign(held_.size(), 0);
 }
 
 bool Holder::answered(TimeUs now, const Grant& grant, const std::vector<Terms>& terms) {
-  const auto asked = asked_at(grant.seq);
+  const auto asked = requested_at(grant.seq);
   if (grant.to != self_ || !asked) return false;
   if (grant.kind == Grant::Kind::kLeft) return left_ = leaving_;
   if (leaving_) return false;
   superseded_ = superseded_ || grant.kind == Grant::Kind::kSuperseded;
-  no_room_ = grant.kind == Grant::Kind::kNoRoom;
+  not_admitted_ = grant.kind == Grant::Kind::kNoRoom;
   if (superseded_) drop_lease();
-  if (grant.kind != Grant::Kind::kLease) return superseded_ || no_room_;
+  if (grant.kind != Grant::Kind::kLease) return superseded_ || not_admitted_;
   if (superseded_ || grant.number <= number_) return false;
-  for (const Terms& t : terms) take(t);
+  for (const Terms& newer : terms) adopt_terms(newer);
   if (grant.revision != terms_.revision || grant.parts.size() != parts_.size()) return false;
-  // One that is over on arrival is not taken over: acknowledging it would give back what may still be in use.
+  // A lease that has expired on arrival is not adopted: acknowledging it would give back parts that may still
+  // be in use.
   if (*asked + grant.term <= now) return false;
   number_ = grant.number;
   ends_at_ = *asked + grant.term;
-  stopped_ = false;
+  dropped_ = false;
   level_ = grant.level;
-  settled_ = grant.settled;
+  half_granted_ = grant.settled;
   live_ = std::max(grant.live, 1);
   place_ = std::clamp(grant.place, 0, live_ - 1);
   for (std::size_t a = 0; a < parts_.size(); ++a) {
-    owes_ = owes_ || grant.parts[a] < parts_[a];
+    must_acknowledge_ = must_acknowledge_ || grant.parts[a] < parts_[a];
     held_[a] = std::max(held_[a], grant.parts[a]);
   }
   parts_ = grant.parts;
--- a/src/budget/holder.h
+++ b/src/budget/holder.h
@@ -1,9 +1,11 @@
-// A controller's own side of its leases: what it may use at a time that it is told, when to ask again, and
-// what to say then. No I/O, no clock. Times are on the holder's own clock, which must go on while the machine
-// sleeps and never be set (CLOCK_BOOTTIME).
+// A controller's side of its leases: what it may use at a given time, and the requests that renew the lease.
+// No I/O, no clock of its own. Times are on the holder's clock, which must advance while the machine sleeps
+// and must never be set (CLOCK_BOOTTIME).
 //
-// A lease's term counts from when it was asked for, which is before any keeper put it in force; so it is over
-// here before a keeper takes it for over. Past it the cut-off part alone is left.
+// The term of a lease counts from the time of its request, which is before any keeper grants it; so the lease
+// expires here before a keeper regards it as expired. After that only the cut-off part may be used.
+//
+// `a` is the index of an allowance in `terms().allowances`.
 #pragma once
 
 #include <deque>
@@ -17,64 +19,67 @@
 
 class Holder {
  public:
-  // `terms`: of the own file; later ones come from the keepers.
-  Holder(MemberKey self, Terms terms) : self_(std::move(self)), terms_(std::move(terms)) { resize(); }
+  // `terms`: of this controller's file; the keepers' terms replace them later.
+  Holder(MemberKey self, Terms terms) : self_(std::move(self)), terms_(std::move(terms)) { reset_parts(); }
 
-  // The next ask; from when it is made the term of the lease counts that answers it. `in_use`: what is in use
-  // now beyond the cut-off part and can't be given back before it is over; by allowance, as `demand`.
+  // Returns the next lease request, to be sent now: the term of a lease that answers it counts from `now`.
+  // `demand`: what could be used, by allowance. `in_use`: what is in use beyond the cut-off part and can't be
+  // given back before it ends, by allowance.
   Ask ask(TimeUs now, std::vector<Parts> demand, const std::vector<Parts>& in_use);
 
-  // False: it is no news (late, twice, not for this process).
+  // Handles an answer; `terms`: none, or those that it refers to. Returns false if it changes nothing (late,
+  // duplicate, not for this process).
   bool answered(TimeUs now, const Grant& grant, const std::vector<Terms>& terms);
 
-  // What may be used now, the cut-off part within it. The check at each send.
+  // Returns the parts that may be used now, including the cut-off part. To be checked at each send.
   Parts usable(TimeUs now, std::size_t a) const;
-  bool leased(TimeUs now) const { return !stopped_ && now < ends_at_; }
-  TimeUs ends_at() const { return ends_at_; }  // 0: there was no lease yet
+  bool leased(TimeUs now) const { return !dropped_ && now < ends_at_; }
+  TimeUs ends_at() const { return ends_at_; }  // 0: no lease so far
 
-  // Gives all back: from now on the cut-off part alone is used, and the next ask says so.
+  // Gives up the lease: from now on only the cut-off part is used, and the next request reports that.
   void leave() { leaving_ = true, drop_lease(); }
   bool leaving() const { return leaving_; }
-  bool left() const { return left_; }              // the keepers know
-  bool superseded() const { return superseded_; }  // not even the cut-off part is this process's any more
-  bool no_room() const { return no_room_; }
+  bool left() const { return left_; }              // confirmed by the keepers
+  bool superseded() const { return superseded_; }  // this process must not use even its cut-off part any more
+  bool no_room() const { return not_admitted_; }   // the last answer refused admission to the fleet
 
-  // The answer asks for another ask soon: a smaller lease is to be acknowledged, lest others wait for it.
-  bool owes_answer() const { return owes_; }
+  // The last lease is smaller than the one before and has to be acknowledged by a request soon, because other
+  // members wait for the difference.
+  bool owes_answer() const { return must_acknowledge_; }
 
   const Terms& terms() const { return terms_; }
   const MemberKey& self() const { return self_; }
   std::uint64_t number() const { return number_; }
-  Parts part(std::size_t a) const { return parts_[a]; }  // of the last lease, whether over or not
+  Parts part(std::size_t a) const { return parts_[a]; }  // of the last lease, even if it has expired
   int live() const { return live_; }
   int place() const { return place_; }
-  bool settled() const { return settled_; }  // it has half of what it is due
-  Parts level() const { return level_; }     // of the fleet's ramp
+  bool settled() const { return half_granted_; }  // see Grant::settled
+  Parts level() const { return level_; }          // of the fleet's ramp
 
  private:
-  void resize();
+  void reset_parts();
   void drop_lease();
-  void take(const Terms& terms);
-  std::optional<TimeUs> asked_at(std::uint64_t seq) const;
+  void adopt_terms(const Terms& terms);
+  std::optional<TimeUs> requested_at(std::uint64_t seq) const;
 
   MemberKey self_;
   Terms terms_;
   std::uint64_t seq_ = 0;
   std::uint64_t number_ = 0;
-  std::deque<std::pair<std::uint64_t, TimeUs>> asked_;  // the last few, with when
-  std::vector<Parts> parts_;                            // by the last lease
-  std::vector<Parts> held_;                             // at the most in use: falls only as use falls
+  std::deque<std::pair<std::uint64_t, TimeUs>> sent_requests_;  // the last few: seq and time
+  std::vector<Parts> parts_;                                    // of the last lease
+  std::vector<Parts> held_;                                     // upper bound of use: falls only as use falls
   TimeUs ends_at_ = 0;
   int live_ = 1;
   int place_ = 0;
   Parts level_ = kFullLevel;
-  bool settled_ = false;
+  bool half_granted_ = false;
   bool leaving_ = false;
   bool left_ = false;
   bool superseded_ = false;
-  bool no_room_ = false;
-  bool owes_ = false;
-  bool stopped_ = false;  // the lease was dropped before its end
+  bool not_admitted_ = false;
+  bool must_acknowledge_ = false;
+  bool dropped_ = false;  // the lease was dropped before it expired
 };
 
 }  // namespace orchidgw::budget
--- a/src/budget/ledger.cpp
+++ b/src/budget/ledger.cpp
@@ -11,8 +11,8 @@
 
 constexpr Parts kHysteresis = 16;  // a lease shrinks by demand alone only if by more than one part in so many
 
-std::vector<Parts> sized(std::vector<Parts> parts, std::size_t n) {
-  parts.resize(n, 0);
+std::vector<Parts> resized(std::vector<Parts> parts, std::size_t new_index) {
+  parts.resize(new_index, 0);
   for (Parts& p : parts) p = std::max<Parts>(p, 0);
   return parts;
 }
@@ -20,50 +20,51 @@
 }  // namespace
 
 std::vector<Grant> Ledger::apply(const Entry& entry) {
-  bool let_go = terms_.revision == 0;  // of a new log nothing is leased
-  for (const Terms& terms : entry.terms) take(terms);
+  bool parts_returned = terms_.revision == 0;  // of a new log nothing is leased
+  for (const Terms& terms : entry.terms) adopt_terms(terms);
   for (const Parts level : entry.level) level_ = std::clamp<Parts>(level, 1, kFullLevel);
   const std::size_t members = members_.size();
   for (const Expiry& expiry : entry.expired) expire(expiry);
-  let_go = let_go || members_.size() < members;
+  parts_returned = parts_returned || members_.size() < members;
   std::vector<Grant> out;
-  std::vector<const Ask*> good;
+  std::vector<const Ask*> accepted;
   for (const Ask& ask : entry.asks) {
     Grant refusal;
-    let_go = let_go || (ask.leaving && members_.contains(ask.from));
-    if (note(ask, refusal)) {
-      good.push_back(&ask);
+    parts_returned = parts_returned || (ask.leaving && members_.contains(ask.from));
+    if (record(ask, refusal)) {
+      accepted.push_back(&ask);
     } else if (refusal.kind != Grant::Kind::kLease) {
       out.push_back(std::move(refusal));
     }
   }
-  if (let_go) fall();
-  if (good.empty()) return out;
-  const Division division = divide_anew();
-  std::vector<Parts> left(terms_.allowances.size());
-  for (std::size_t a = 0; a < left.size(); ++a) left[a] = free(a);
-  for (const Ask* ask : good) {
+  if (parts_returned) lower_level_if_idle();
+  if (accepted.empty()) return out;
+  const Division division = compute_targets();
+  std::vector<Parts> free_parts(terms_.allowances.size());
+  for (std::size_t a = 0; a < free_parts.size(); ++a) free_parts[a] = free(a);
+  for (const Ask* ask : accepted) {
     const auto it = members_.find(ask->from);  // it may have left, or been superseded, in this very entry
-    if (it != members_.end() && !it->second.superseded) out.push_back(grant(*ask, division, left));
+    if (it != members_.end() && !it->second.superseded) out.push_back(grant(*ask, division, free_parts));
   }
   return out;
 }
 
 // Allowances keep what is out of them by name. What is smaller now is followed down to as leases are renewed.
-void Ledger::take(const Terms& terms) {
+void Ledger::adopt_terms(const Terms& terms) {
   if (terms.revision <= terms_.revision) return;
-  const auto moved = [&](const std::vector<Parts>& from) {
+  const auto remapped = [&](const std::vector<Parts>& from) {
     std::vector<Parts> to(terms.allowances.size(), 0);
-    for (std::size_t n = 0; n < to.size(); ++n)
-      for (std::size_t o = 0; o < from.size(); ++o)
-        if (terms_.allowances[o].name == terms.allowances[n].name) to[n] = from[o];
+    for (std::size_t new_index = 0; new_index < to.size(); ++new_index)
+      for (std::size_t old_index = 0; old_index < from.size(); ++old_index)
+        if (terms_.allowances[old_index].name == terms.allowances[new_index].name)
+          to[new_index] = from[old_index];
     return to;
   };
   for (auto& [key, member] : members_) {
-    member.demand = moved(member.demand);
-    member.granted = moved(member.granted);
-    member.held = moved(member.held);
-    member.unacked = moved(member.unacked);
+    member.demand = remapped(member.demand);
+    member.granted = remapped(member.granted);
+    member.held = remapped(member.held);
+    member.unacked = remapped(member.unacked);
   }
   terms_ = terms;
 }
@@ -74,7 +75,7 @@
   if (it != members_.end() && it->second.number == expiry.number) members_.erase(it);
 }
 
-bool Ledger::has_room_for(const MemberKey& key) const {
+bool Ledger::can_admit(const MemberKey& key) const {
   std::set<std::string_view> names;
   for (const auto& [member, state] : members_) names.insert(member.name);
   return names.contains(key.name) || static_cast<int>(names.size()) < terms_.largest;
@@ -82,7 +83,7 @@
 
 // Takes over what the member tells. False if no lease follows; then `refusal` says why, unless the ask is
 // stale.
-bool Ledger::note(const Ask& ask, Grant& refusal) {
+bool Ledger::record(const Ask& ask, Grant& refusal) {
   refusal.to = ask.from;
   refusal.seq = ask.seq;
   const auto refuse = [&](Grant::Kind kind) {
@@ -103,12 +104,13 @@
     for (const auto& [key, member] : members_)
       if (key.name == ask.from.name && key.incarnation > ask.from.incarnation)
         return refuse(Grant::Kind::kNoRoom);
-    if (!has_room_for(ask.from)) return refuse(Grant::Kind::kNoRoom);
+    if (!can_admit(ask.from)) return refuse(Grant::Kind::kNoRoom);
     for (auto& [key, member] : members_)
       if (key.name == ask.from.name) member.superseded = true;
     it = members_.try_emplace(ask.from).first;
-    const std::size_t n = terms_.allowances.size();
-    it->second.demand = it->second.granted = it->second.held = it->second.unacked = std::vector<Parts>(n, 0);
+    const std::size_t new_index = terms_.allowances.size();
+    it->second.demand = it->second.granted = it->second.held = it->second.unacked =
+        std::vector<Parts>(new_index, 0);
   }
   Member& m = it->second;
   m.seq = ask.seq;
@@ -116,10 +118,10 @@
   m.number = std::max(m.number, ask.acked);
   // One that counts by other terms tells nothing of these; it learns them by the answer.
   if (ask.revision != terms_.revision) return true;
-  m.demand = sized(ask.demand, m.demand.size());
+  m.demand = resized(ask.demand, m.demand.size());
   if (ask.acked != m.number) return true;  // a later lease may be on its way to it
   m.acked = ask.acked;
-  const std::vector<Parts> held = sized(ask.held, m.held.size());
+  const std::vector<Parts> held = resized(ask.held, m.held.size());
   for (std::size_t a = 0; a < held.size(); ++a) {
     // Nobody comes to more by saying so, nor to less than the lease that it has taken over.
     m.held[a] = std::max(std::min(held[a], m.outstanding(a)), m.granted[a]);
@@ -131,7 +133,7 @@
 // Where hardly more than the reserve is leased any more the fleet was gone, and its engines have idled for a
 // term: the ramp begins. What newcomers hold by then is within the first level, lest it be passed from the
 // start.
-void Ledger::fall() {
+void Ledger::lower_level_if_idle() {
   if (terms_.ramp == 0) return;
   Parts least = kFullLevel / kRampSteps;
   for (std::size_t a = 0; a < terms_.allowances.size(); ++a) {
@@ -144,7 +146,7 @@
   level_ = std::min(level_, least);
 }
 
-Ledger::Division Ledger::divide_anew() const {
+Ledger::Division Ledger::compute_targets() const {
   Division out;
   std::vector<const Member*> states;
   for (const auto& [key, member] : members_) {
@@ -175,7 +177,7 @@
 
 // Grows by free parts alone, of which the reserve is for who has less than the least. Shrinks to the target,
 // but for steps so small that moving them is not worth it, while nothing is missing.
-Parts Ledger::next_part(std::size_t a, const Member& member, Parts target, Parts free) const {
+Parts Ledger::next_lease_part(std::size_t a, const Member& member, Parts target, Parts free) const {
   const Allowance& terms = terms_.allowances[a];
   const Parts reserve = at_level(terms.reserve);
   const Parts granted = member.granted[a];
@@ -209,7 +211,7 @@
   for (std::size_t a = 0; a < free.size(); ++a) {
     const Parts before = m.outstanding(a);
     const Parts due = division.targets[a][place];
-    Parts part = next_part(a, m, due, free[a]);
+    Parts part = next_lease_part(a, m, due, free[a]);
     if (ask.revision != terms_.revision) part = std::min(part, m.granted[a]);
     // Half of it: parts move by demand all the time, and who waits for leases of before a stop has far less.
     out.settled = out.settled && part >= due / 2;
--- a/src/budget/ledger.h
+++ b/src/budget/ledger.h
@@ -49,19 +49,19 @@
   bool operator==(const Ledger&) const = default;
 
  private:
-  void take(const Terms& terms);
+  void adopt_terms(const Terms& terms);
   void expire(const Expiry& expiry);
-  bool note(const Ask& ask, Grant& refusal);
-  bool has_room_for(const MemberKey& key) const;
+  bool record(const Ask& ask, Grant& refusal);
+  bool can_admit(const MemberKey& key) const;
   // Among all members: in the order of their keys, and each one's part by allowance, then by place.
   struct Division {
     std::vector<const MemberKey*> members;
     std::vector<std::vector<Parts>> targets;
   };
-  void fall();
-  Division divide_anew() const;
+  void lower_level_if_idle();
+  Division compute_targets() const;
   Grant grant(const Ask& ask, const Division& division, std::vector<Parts>& free);
-  Parts next_part(std::size_t a, const Member& member, Parts target, Parts free) const;
+  Parts next_lease_part(std::size_t a, const Member& member, Parts target, Parts free) const;
 
   Parts at_level(Parts parts) const {
     return static_cast<Parts>(static_cast<WideParts>(parts) * level_ / kFullLevel);
--- a/src/budget/terms.h
+++ b/src/budget/terms.h
@@ -1,5 +1,5 @@
-// What is divided in a fleet, and on which terms: one whole for each allowance, counted in integer parts, so
-// that sums are exact. Plain values; no I/O, no clock.
+// Data types of the leases by which a fleet of controllers divides its allowances: each allowance has a
+// total, counted in integer parts so that sums are exact. Plain values; no I/O, no clock.
 #pragma once
 
 #include <compare>
@@ -14,95 +14,97 @@
 using Parts = std::int64_t;
 __extension__ typedef __int128 WideParts;  // products of parts, exact
 
-inline constexpr Parts kFullLevel = 1'000'000;
+inline constexpr Parts kFullLevel = 1'000'000;  // the ramp's level when it is over, in parts per million
 inline constexpr Parts kRampSteps = 10;
 inline Parts percent_of(Parts level) { return level * 100 / kFullLevel; }  // for operators
 
-// One allowance and its whole. largest x cut_off + reserve <= whole.
+// One allowance, in parts. Invariant: Terms::largest * cut_off + reserve <= whole.
 struct Allowance {
   std::string name;
-  Parts whole = 0;
-  Parts cut_off = 0;  // each controller's at any time, lease or not: set aside for the largest number of them
-  Parts reserve = 0;  // kept free for newcomers
-  Parts least = 0;    // of each live member, where that many can be had
+  Parts whole = 0;    // total of the fleet
+  Parts cut_off = 0;  // may be used by a controller without a lease; set aside for `largest` controllers
+  Parts reserve = 0;  // kept free for new members
+  Parts least = 0;    // minimum of each live member, as far as the total allows it
   bool operator==(const Allowance&) const = default;
 };
 
+// The conditions under which leases are granted, as stated in the operators' file.
 struct Terms {
-  std::uint64_t revision = 0;  // of the operators' file; only ever rises
-  int largest = 1;             // controllers there may ever be at one time
-  TimeUs term = 0;             // of a lease, from when its holder asked for it
-  std::int64_t drift_ppm = 0;  // any two clocks run apart by this at the most (parts per million)
+  std::uint64_t revision = 0;  // of the operators' file; never decreases
+  int largest = 1;             // largest number of controllers at any time
+  TimeUs term = 0;             // duration of a lease, from the time of its request
+  std::int64_t drift_ppm = 0;  // largest difference between the rates of any two clocks, in parts per million
   std::vector<Allowance> allowances;
-  // Once next to nothing of the whole is leased (all members were lost at once), what leases sum to rises to
-  // it over this time: engines are cold then, and meet one sum, however many controllers there are. 0: at
-  // once.
+  // When hardly anything is leased any more (all members were lost at once), the sum of all leases rises from
+  // a low level to the total over this time. Engines are in slow start then, and the limit holds for the
+  // fleet as a whole, however many controllers there are. 0: no ramp.
   TimeUs ramp = 0;
-  TimeUs longest_rest = 0;  // of a key that the fleet keeps; 0: it keeps none
+  TimeUs longest_rest = 0;  // longest time for which the fleet holds a key; 0: it holds no keys
   bool operator==(const Terms&) const = default;
 
-  // What leases may sum to: the whole less what is set aside for those that are cut off.
+  // The largest sum of all leases of allowance `a`: the total less all cut-off parts.
   Parts shared(std::size_t a) const { return allowances[a].whole - largest * allowances[a].cut_off; }
-  // A lease of `term` that was put in force so long ago can't be used by its holder any more, whatever the
-  // drift of both clocks.
+  // Time after which a lease of `term` has expired for its holder as well, counted on a keeper's clock from
+  // when it was granted there, with the drift of both clocks included.
   static TimeUs surely_over_after(TimeUs term, std::int64_t drift_ppm) {
     return term + 2 * (term * drift_ppm / 1'000'000) + 1;
   }
 };
 
-// One process of a controller: another start of the same one is another incarnation.
+// Identifies one process of a controller; each start of the controller is another incarnation.
 struct MemberKey {
   std::string name;
   std::uint64_t incarnation = 0;
   auto operator<=>(const MemberKey&) const = default;
 };
 
-// What a member tells of itself, and asks for by that.
+// A member's request for a lease, with its state.
 struct Ask {
   MemberKey from;
-  std::uint64_t seq = 0;       // rises with each ask of an incarnation
-  std::uint64_t revision = 0;  // of the terms that it knows
-  std::uint64_t acked = 0;     // the newest lease that it has taken over
-  bool leaving = false;        // it uses nothing any more but its cut-off part
+  std::uint64_t seq = 0;       // rises with each request of an incarnation
+  std::uint64_t revision = 0;  // of the terms that the member knows
+  std::uint64_t acked = 0;     // number of the newest lease that the member has adopted
+  bool leaving = false;        // the member uses nothing but its cut-off parts any more
   std::vector<Parts> demand;   // by allowance: what it could use
-  std::vector<Parts> held;     // by allowance: what it uses at the most until it is granted more
+  std::vector<Parts> held;     // by allowance: the most that it uses until it is granted more
   bool operator==(const Ask&) const = default;
 };
 
+// The answer to a lease request.
 struct Grant {
   enum class Kind {
     kLease,
-    kSuperseded,  // a later incarnation of its name is here: use nothing any more
-    kNoRoom,      // for now: as many controllers as there may be are members, or a later start of its name is
-    kLeft         // its leaving is known
+    kSuperseded,  // a later incarnation of its name is a member: it must not use anything any more
+    kNoRoom,      // not admitted for now: `largest` members, or a later incarnation of its name is a member
+    kLeft         // confirms that it has left
   };
   MemberKey to;
-  std::uint64_t seq = 0;  // of the ask that it answers: the term counts from when that was sent
+  std::uint64_t seq = 0;  // of the request; the term counts from the time when that was sent
   Kind kind = Kind::kLease;
   std::uint64_t number = 0;    // rises with each lease of an incarnation
-  std::uint64_t revision = 0;  // of the terms by which `parts` are counted
+  std::uint64_t revision = 0;  // of the terms that `parts` refer to
   TimeUs term = 0;
-  int live = 1;              // members
-  int place = 0;             // of this one among them, from 0
-  std::vector<Parts> parts;  // by allowance, beside the cut-off part
-  Parts level = kFullLevel;  // parts per million of the whole that the fleet is held to
-  bool settled = false;      // these are half of what it is due, or more: no old leases are in the way
+  int live = 1;              // number of members
+  int place = 0;             // index of this member among them, from 0
+  std::vector<Parts> parts;  // by allowance, in addition to the cut-off parts
+  Parts level = kFullLevel;  // of the ramp: limits the fleet to this share of the total, in parts per million
+  bool settled = false;  // at least half of its target in each allowance: old leases do not block it any more
   bool operator==(const Grant&) const = default;
 };
 
-// Said by the leading keeper alone: the lease of that number is over by its clock.
+// The lease of that number has expired by the leading keeper's clock. Only the leader creates these.
 struct Expiry {
   MemberKey member;
   std::uint64_t number = 0;
   bool operator==(const Expiry&) const = default;
 };
 
-// What is agreed on in one step: applied whole; terms and level first, asks last.
+// One entry of the replicated log, applied atomically: terms and level first, then expiries, then requests.
 struct Entry {
-  std::vector<Terms> terms;  // none or one
+  std::vector<Terms> terms;  // at most one
   std::vector<Expiry> expired;
   std::vector<Ask> asks;
-  std::vector<Parts> level = {};  // none or one: of the ramp, parts per million
+  std::vector<Parts> level = {};  // at most one: a level of the ramp, in parts per million
   bool empty() const { return terms.empty() && expired.empty() && asks.empty() && level.empty(); }
   bool operator==(const Entry&) const = default;
 };
