--- a/src/budget/holder.cpp
+++ b/src/budget/holder.cpp
@@ -38,7 +38,7 @@
     held_[a] = std::max(lease, std::min(held_[a], value_or_zero(in_use, a)));
   }
   request.held = held_;
-  demand.reset_parts(parts_.size(), 0);
+  demand.resize(parts_.size(), 0);
   request.demand = std::move(demand);
   must_acknowledge_ = false;
   return request;
--- a/src/budget/ledger.cpp
+++ b/src/budget/ledger.cpp
@@ -9,18 +9,18 @@
 namespace orchidgw::budget {
 namespace {
 
-constexpr Parts kHysteresis = 16;  // a lease shrinks by demand alone only if by more than one part in so many
+constexpr Parts kHysteresis = 16;  // lower demand shrinks a lease only if it does so by more than 1/16
 
-std::vector<Parts> resized(std::vector<Parts> parts, std::size_t new_index) {
-  parts.resize(new_index, 0);
-  for (Parts& p : parts) p = std::max<Parts>(p, 0);
+std::vector<Parts> resized(std::vector<Parts> parts, std::size_t size) {
+  parts.resize(size, 0);
+  for (Parts& part : parts) part = std::max<Parts>(part, 0);
   return parts;
 }
 
 }  // namespace
 
 std::vector<Grant> Ledger::apply(const Entry& entry) {
-  bool parts_returned = terms_.revision == 0;  // of a new log nothing is leased
+  bool parts_returned = terms_.revision == 0;  // nothing is leased on a new log
   for (const Terms& terms : entry.terms) adopt_terms(terms);
   for (const Parts level : entry.level) level_ = std::clamp<Parts>(level, 1, kFullLevel);
   const std::size_t members = members_.size();
@@ -43,13 +43,14 @@
   std::vector<Parts> free_parts(terms_.allowances.size());
   for (std::size_t a = 0; a < free_parts.size(); ++a) free_parts[a] = free(a);
   for (const Ask* ask : accepted) {
-    const auto it = members_.find(ask->from);  // it may have left, or been superseded, in this very entry
+    const auto it = members_.find(ask->from);  // may have left or been superseded within this entry
     if (it != members_.end() && !it->second.superseded) out.push_back(grant(*ask, division, free_parts));
   }
   return out;
 }
 
-// Allowances keep what is out of them by name. What is smaller now is followed down to as leases are renewed.
+// Leased parts are carried over to the allowance of the same name. Where an allowance has become smaller,
+// leases shrink as they are renewed.
 void Ledger::adopt_terms(const Terms& terms) {
   if (terms.revision <= terms_.revision) return;
   const auto remapped = [&](const std::vector<Parts>& from) {
@@ -71,7 +72,7 @@
 
 void Ledger::expire(const Expiry& expiry) {
   const auto it = members_.find(expiry.member);
-  // Guards against an expiry that was decided before a renewal which then came first.
+  // Ignores an expiry that was decided before a renewal but follows it in the log.
   if (it != members_.end() && it->second.number == expiry.number) members_.erase(it);
 }
 
@@ -81,8 +82,8 @@
   return names.contains(key.name) || static_cast<int>(names.size()) < terms_.largest;
 }
 
-// Takes over what the member tells. False if no lease follows; then `refusal` says why, unless the ask is
-// stale.
+// Records the member's request and admits new members. Returns false if no lease is to be granted; `refusal`
+// is the answer then, unless its kind is still kLease: the request is stale and gets no answer.
 bool Ledger::record(const Ask& ask, Grant& refusal) {
   refusal.to = ask.from;
   refusal.seq = ask.seq;
@@ -91,7 +92,7 @@
     return false;
   };
   auto it = members_.find(ask.from);
-  // Guards against messages that come twice, late or out of turn.
+  // Ignores messages that are duplicated, late or out of order.
   if (it != members_.end() && ask.seq <= it->second.seq) return false;
   if (ask.leaving) {
     if (it != members_.end()) members_.erase(it);
@@ -99,8 +100,8 @@
   }
   if (it != members_.end() && it->second.superseded) return refuse(Grant::Kind::kSuperseded);
   if (it == members_.end()) {
-    // Guards against a late word of an earlier start, which must not put out the one that runs. Where a clock
-    // was set back it is the later start that waits, until the earlier one's lease is over.
+    // A late request of an earlier incarnation must not supersede the running one. If the clock was set back
+    // between two starts, it is the later start that waits until the earlier one's lease has expired.
     for (const auto& [key, member] : members_)
       if (key.name == ask.from.name && key.incarnation > ask.from.incarnation)
         return refuse(Grant::Kind::kNoRoom);
@@ -108,31 +109,32 @@
     for (auto& [key, member] : members_)
       if (key.name == ask.from.name) member.superseded = true;
     it = members_.try_emplace(ask.from).first;
-    const std::size_t new_index = terms_.allowances.size();
+    const std::size_t count = terms_.allowances.size();
     it->second.demand = it->second.granted = it->second.held = it->second.unacked =
-        std::vector<Parts>(new_index, 0);
+        std::vector<Parts>(count, 0);
   }
   Member& m = it->second;
   m.seq = ask.seq;
-  // It had leases before that are over here; guards against numbers that it knows already, which it ignores.
+  // A member whose earlier leases have expired here must get higher lease numbers, since it ignores numbers
+  // up to that of its last lease.
   m.number = std::max(m.number, ask.acked);
-  // One that counts by other terms tells nothing of these; it learns them by the answer.
+  // A request under other terms says nothing about these; the answer carries the current terms.
   if (ask.revision != terms_.revision) return true;
   m.demand = resized(ask.demand, m.demand.size());
   if (ask.acked != m.number) return true;  // a later lease may be on its way to it
   m.acked = ask.acked;
   const std::vector<Parts> held = resized(ask.held, m.held.size());
   for (std::size_t a = 0; a < held.size(); ++a) {
-    // Nobody comes to more by saying so, nor to less than the lease that it has taken over.
+    // A member can't raise its parts by reporting more, nor get below the lease that it has adopted.
     m.held[a] = std::max(std::min(held[a], m.outstanding(a)), m.granted[a]);
     m.unacked[a] = m.granted[a];
   }
   return true;
 }
 
-// Where hardly more than the reserve is leased any more the fleet was gone, and its engines have idled for a
-// term: the ramp begins. What newcomers hold by then is within the first level, lest it be passed from the
-// start.
+// Starts the ramp if hardly more than the reserve is leased any more: the fleet was down, and its engines
+// have been idle for a term. The initial level is high enough for the parts that new members hold already, so
+// that they don't exceed it from the start.
 void Ledger::lower_level_if_idle() {
   if (terms_.ramp == 0) return;
   Parts least = kFullLevel / kRampSteps;
@@ -175,8 +177,9 @@
   members_ = std::move(members);
 }
 
-// Grows by free parts alone, of which the reserve is for who has less than the least. Shrinks to the target,
-// but for steps so small that moving them is not worth it, while nothing is missing.
+// Returns the size of a member's next lease of one allowance. It grows only by free parts, of which the
+// reserve is for members with less than `least`. It shrinks to the target, except by steps too small to be
+// worth it while the reserve is complete.
 Parts Ledger::next_lease_part(std::size_t a, const Member& member, Parts target, Parts free) const {
   const Allowance& terms = terms_.allowances[a];
   const Parts reserve = at_level(terms.reserve);
@@ -186,7 +189,7 @@
     const bool small = granted - target <= granted / kHysteresis;
     return small && free >= reserve ? granted : target;
   }
-  // Of the reserve a newcomer takes its least and no more: guards against one that leaves none to the next.
+  // A new member takes only its `least` from the reserve, so that some of it is left for the next one.
   const Parts beside = std::max<Parts>(free - reserve, 0);
   const Parts usable = std::max(beside, std::min(terms.least - out, free));
   return std::max(granted, std::min(target, out + std::max<Parts>(usable, 0)));
@@ -213,7 +216,8 @@
     const Parts due = division.targets[a][place];
     Parts part = next_lease_part(a, m, due, free[a]);
     if (ask.revision != terms_.revision) part = std::min(part, m.granted[a]);
-    // Half of it: parts move by demand all the time, and who waits for leases of before a stop has far less.
+    // Half of the target is enough: parts move with demand all the time, and a member that waits for leases
+    // from before a restart to expire has far less.
     out.settled = out.settled && part >= due / 2;
     m.granted[a] = part;
     m.unacked[a] = std::max(m.unacked[a], part);
--- a/src/promises/key_holder.cpp
+++ b/src/promises/key_holder.cpp
@@ -8,82 +8,83 @@
 namespace orchidgw::promises {
 namespace {
 
-constexpr std::size_t kWaitingMost = 4096;
-constexpr std::size_t kWantsMost = 256;  // in one ask, and as many freed
-constexpr std::size_t kFreedMost = 4096;
-constexpr TimeUs kRepeatPart = 12;  // of a term: an ask that has no answer is made again
-constexpr TimeUs kStuckPart = 6;    // of a term: after that, one is tried again
+constexpr std::size_t kMaxWaiting = 4096;
+constexpr std::size_t kMaxWantsPerRequest = 256;  // and as many releases
+constexpr std::size_t kMaxPendingReleases = 4096;
+constexpr TimeUs kRetryDivisor = 12;        // a request without a reply is repeated after 1/12 of a term
+constexpr TimeUs kUnresponsiveDivisor = 6;  // requests are tried again after 1/6 of a term
 
 }  // namespace
 
-TimeUs KeyHolder::patience() const { return term_ / kSendPart; }
+TimeUs KeyHolder::patience() const { return term_ / kGrantTimeoutDivisor; }
 
-TimeUs KeyHolder::repeat_after() const { return term_ / kRepeatPart; }
+TimeUs KeyHolder::retry_delay() const { return term_ / kRetryDivisor; }
 
-bool KeyHolder::has_room() const { return waiting_.size() < kWaitingMost; }
+bool KeyHolder::has_room() const { return waiting_.size() < kMaxWaiting; }
 
 void KeyHolder::want(TimeUs now, Ticket ticket, Want want) { waiting_[ticket] = {std::move(want), now, now}; }
 
 bool KeyHolder::drop(Ticket ticket) { return waiting_.erase(ticket) > 0; }
 
-// Past the bound a key rests in vain: that is safe.
+// Beyond the bound the release is dropped: the key stays held until its hold expires, which is safe.
 void KeyHolder::let_go(const Free& free) {
-  if (freed_.size() >= kFreedMost) return;
-  freed_[{free.identity, free.query}] = 0;
-  freed_due_ = 0;
+  if (releases_.size() >= kMaxPendingReleases) return;
+  releases_[{free.identity, free.query}] = 0;
+  next_release_due_ = 0;
 }
 
 std::optional<KeyAsk> KeyHolder::next(TimeUs now) {
   KeyAsk out;
-  Flight flight;
+  InFlight flight;
   for (auto& [ticket, waiting] : waiting_) {
-    if (waiting.ask_at > now || out.wants.size() >= kWantsMost) continue;
-    waiting.ask_at = now + repeat_after();
+    if (waiting.next_request_at > now || out.wants.size() >= kMaxWantsPerRequest) continue;
+    waiting.next_request_at = now + retry_delay();
     out.wants.push_back(waiting.want);
     flight.tickets.push_back(ticket);
   }
-  say_freed(now, out);
+  add_releases(now, out);
   if (out.wants.empty() && out.free.empty()) return std::nullopt;
   out.from = self_;
   out.seq = ++last_seq_;
   flight.sent_at = now;
   flight.free = out.free;
-  flights_.emplace(out.seq, std::move(flight));
+  in_flight_.emplace(out.seq, std::move(flight));
   return out;
 }
 
-// Guards against a query that is turned away by the rest of one before it, which never ran: its keeper was
-// lost, or another leads, before the word that it is free was agreed on.
-void KeyHolder::say_freed(TimeUs now, KeyAsk& ask) {
-  if (freed_.empty()) return;
-  const auto say = [&](Freed::iterator it) {
-    if (ask.free.size() >= kWantsMost) return false;
+// Adds the releases that are due, and those of the wanted identities. Otherwise a query could be refused
+// because of the hold of an earlier one that never ran, if the keeper was lost, or another became leader,
+// before the release was committed.
+void KeyHolder::add_releases(TimeUs now, KeyAsk& ask) {
+  if (releases_.empty()) return;
+  const auto say = [&](PendingReleases::iterator it) {
+    if (ask.free.size() >= kMaxWantsPerRequest) return false;
     ask.free.push_back({it->first.second, it->first.first});
     it->second = now + patience();
     return true;
   };
   for (const Want& want : ask.wants)
-    for (auto it = freed_.lower_bound({want.identity, 0}); it != freed_.end(); ++it)
+    for (auto it = releases_.lower_bound({want.identity, 0}); it != releases_.end(); ++it)
       if (it->first.first != want.identity || !say(it)) break;
-  if (freed_due_ > now) return;
-  freed_due_ = now + patience();
-  for (auto it = freed_.begin(); it != freed_.end(); ++it)
+  if (next_release_due_ > now) return;
+  next_release_due_ = now + patience();
+  for (auto it = releases_.begin(); it != releases_.end(); ++it)
     if (it->second <= now && !say(it))
-      freed_due_ = now;
+      next_release_due_ = now;
     else
-      freed_due_ = std::min(freed_due_, it->second);
+      next_release_due_ = std::min(next_release_due_, it->second);
 }
 
-// Guards against an answer that comes so late that the rest may be over before the query is: a process that
-// was stopped, or keepers that were. It is as if there were none.
+// Ignores a reply that comes so late that the hold could expire before the query ends, because this process
+// or the keepers were paused.
 std::vector<KeyHolder::Verdict> KeyHolder::answered(TimeUs now, const KeyTold& told) {
   std::vector<Verdict> out;
-  const auto it = flights_.find(told.seq);
-  if (told.to != self_ || it == flights_.end()) return out;
-  const Flight flight = std::move(it->second);
-  flights_.erase(it);
-  for (const Free& one : flight.free) freed_.erase({one.identity, one.query});
-  stuck_until_ = 0;
+  const auto it = in_flight_.find(told.seq);
+  if (told.to != self_ || it == in_flight_.end()) return out;
+  const InFlight flight = std::move(it->second);
+  in_flight_.erase(it);
+  for (const Free& one : flight.free) releases_.erase({one.identity, one.query});
+  unresponsive_until_ = 0;
   if (now - flight.sent_at > patience() || told.wants.size() != flight.tickets.size()) return out;
   for (std::size_t i = 0; i < flight.tickets.size(); ++i)
     if (waiting_.erase(flight.tickets[i]) > 0) out.push_back({flight.tickets[i], told.wants[i]});
@@ -100,18 +101,19 @@
     out.push_back({it->first, Told::kNotNow});
     it = waiting_.erase(it);
   }
-  if (!out.empty()) stuck_until_ = now + term_ / kStuckPart;
-  while (!flights_.empty() && now - flights_.begin()->second.sent_at > patience())
-    flights_.erase(flights_.begin());
+  if (!out.empty()) unresponsive_until_ = now + term_ / kUnresponsiveDivisor;
+  while (!in_flight_.empty() && now - in_flight_.begin()->second.sent_at > patience())
+    in_flight_.erase(in_flight_.begin());
   return out;
 }
 
 std::optional<TimeUs> KeyHolder::next_due() const {
   std::optional<TimeUs> due;
-  const auto by = [&due](TimeUs at) { due = std::min(due.value_or(at), at); };
-  for (const auto& [ticket, waiting] : waiting_) by(std::min(waiting.ask_at, waiting.since + patience()));
-  if (!freed_.empty()) by(freed_due_);
-  if (!flights_.empty()) by(flights_.begin()->second.sent_at + patience() + 1);
+  const auto consider = [&due](TimeUs at) { due = std::min(due.value_or(at), at); };
+  for (const auto& [ticket, waiting] : waiting_)
+    consider(std::min(waiting.next_request_at, waiting.since + patience()));
+  if (!releases_.empty()) consider(next_release_due_);
+  if (!in_flight_.empty()) consider(in_flight_.begin()->second.sent_at + patience() + 1);
   return due;
 }
 
--- a/src/promises/key_holder.h
+++ b/src/promises/key_holder.h
@@ -1,10 +1,11 @@
-// A controller's own side of its keys: what it asks for, and what may be sent on the answers. No I/O, no
-// clock; times are on the controller's clock (CLOCK_BOOTTIME).
+// A controller's side of its key holds: which keys it asks for, and which queries may be sent after a reply.
+// No I/O, no clock of its own; times are on the controller's clock (CLOCK_BOOTTIME).
 //
-// All that a turn wants goes in one ask. What is not answered in time is asked for again, and an answer to
-// any of the asks counts, by the time of that ask. Past `patience` it is given up: nothing was sent, so that
-// is harmless. What the keepers may still give is freed: that is said until it is heard, and with each want
-// of the same identity, so that no want of ours is agreed on before it.
+// All keys that one turn of the event loop wants go into one request. A key without a reply in time is
+// requested again, and a reply to any of these requests counts, by the time of that request. After a timeout
+// (`patience`) the key is given up, which is harmless because nothing was sent. The keepers may still grant
+// it, so it is released: the release is repeated until a keeper has replied, and goes with each request for
+// the same identity, so that no later want of this controller is applied before it.
 #pragma once
 
 #include <map>
@@ -19,7 +20,7 @@
 
 class KeyHolder {
  public:
-  using Ticket = std::uint64_t;  // the caller's word for one send that waits
+  using Ticket = std::uint64_t;  // chosen by the caller: identifies one send that waits
   struct Verdict {
     Ticket ticket = 0;
     Told told = Told::kNotNow;
@@ -27,20 +28,26 @@
 
   explicit KeyHolder(MemberKey self) : self_(std::move(self)) {}
 
-  // Of a lease's term: an ask is repeated after a part of it, and given up after half (kSendPart).
+  // Sets a lease's term: a request is repeated after a fraction of it, and given up after half of it
+  // (kGrantTimeoutDivisor).
   void set_term(TimeUs term) { term_ = term; }
 
-  bool has_room() const;
-  // Keepers have not answered lately, and none did since: what is wanted now would only wait.
-  bool stuck(TimeUs now) const { return now < stuck_until_; }
+  bool has_room() const;  // one more key can wait
+  // A request timed out recently and no reply has come since: a key requested now would only wait.
+  bool stuck(TimeUs now) const { return now < unresponsive_until_; }
+  // Requests a key with the next message; the result comes from `answered` or `given_up`.
   void want(TimeUs now, Ticket ticket, Want want);
-  bool drop(Ticket ticket);  // false: it does not wait
+  bool drop(Ticket ticket);  // forgets a waiting request; false: it does not wait
+  // Queues the release of a key.
   void let_go(const Free& free);
 
-  // What is to be sent now, if anything is.
+  // Returns the next message to send now, if any; to be called until there is none.
   std::optional<KeyAsk> next(TimeUs now);
+  // Handles a reply; returns the results of the keys that no longer wait.
   std::vector<Verdict> answered(TimeUs now, const KeyTold& told);
+  // Removes the keys that have waited too long and returns kNotNow for each.
   std::vector<Verdict> given_up(TimeUs now);
+  // When `given_up` and `next` have to be called again; none: nothing waits.
   std::optional<TimeUs> next_due() const;
   std::size_t waiting() const { return waiting_.size(); }
 
@@ -48,26 +55,27 @@
   struct Waiting {
     Want want;
     TimeUs since = 0;
-    TimeUs ask_at = 0;  // when it is to be asked for, again
+    TimeUs next_request_at = 0;  // time of the next request for it
   };
-  struct Flight {
+  struct InFlight {
     TimeUs sent_at = 0;
     std::vector<Ticket> tickets;
     std::vector<Free> free;
   };
-  using Freed = std::map<std::pair<std::string, std::uint64_t>, TimeUs>;  // by identity and query: when said
+  // By identity and query: when the release is sent next.
+  using PendingReleases = std::map<std::pair<std::string, std::uint64_t>, TimeUs>;
   TimeUs patience() const;
-  TimeUs repeat_after() const;
-  void say_freed(TimeUs now, KeyAsk& ask);
+  TimeUs retry_delay() const;
+  void add_releases(TimeUs now, KeyAsk& ask);
 
   MemberKey self_;
   TimeUs term_ = 0;
   std::uint64_t last_seq_ = 0;
   std::map<Ticket, Waiting> waiting_;
-  std::map<std::uint64_t, Flight> flights_;  // by seq
-  Freed freed_;                              // until a keeper has heard it
-  TimeUs freed_due_ = 0;                     // not later than the first of those times
-  TimeUs stuck_until_ = 0;
+  std::map<std::uint64_t, InFlight> in_flight_;  // by seq
+  PendingReleases releases_;                     // kept until a keeper has replied
+  TimeUs next_release_due_ = 0;                  // not later than the earliest time in `releases_`
+  TimeUs unresponsive_until_ = 0;
 };
 
 }  // namespace orchidgw::promises
--- a/src/promises/key_table.cpp
+++ b/src/promises/key_table.cpp
@@ -7,13 +7,14 @@
 
 std::vector<KeyTold> KeyTable::apply(const KeyEntry& entry) {
   for (const std::uint64_t number : entry.over)
-    if (const auto it = identities_.find(number); it != identities_.end()) erase(rests_.find(it->second));
+    if (const auto it = identity_by_number_.find(number); it != identity_by_number_.end())
+      erase(rests_.find(it->second));
   settled_ = settled_ || entry.settled;
   std::vector<KeyTold> out;
   for (const KeyAsk& ask : entry.asks) {
     for (const Free& free : ask.free) {
       const auto it = rests_.find(free.identity);
-      // Guards against a word about a query that had the key before, late: another's rest is not its to end.
+      // Ignores a late release by a query that held the key before: it must not end another query's hold.
       if (it != rests_.end() && it->second.holder == ask.from && it->second.query == free.query) erase(it);
     }
     KeyTold told{ask.from, ask.seq, {}};
@@ -33,27 +34,27 @@
     return Told::kRests;
   }
   Rest& rest = it->second;
-  identities_.erase(rest.number);
+  identity_by_number_.erase(rest.number);
   rest.number = ++last_number_;
   rest.time = std::max(rest.time, want.rest);
-  identities_.emplace(rest.number, want.identity);
+  identity_by_number_.emplace(rest.number, want.identity);
   return Told::kGiven;
 }
 
 void KeyTable::erase(Rests::iterator it) {
-  identities_.erase(it->second.number);
+  identity_by_number_.erase(it->second.number);
   rests_.erase(it);
 }
 
-const Rest* KeyTable::by_number(std::uint64_t number) const {
-  const auto it = identities_.find(number);
-  return it == identities_.end() ? nullptr : &rests_.at(it->second);
+const Rest* KeyTable::find_by_number(std::uint64_t number) const {
+  const auto it = identity_by_number_.find(number);
+  return it == identity_by_number_.end() ? nullptr : &rests_.at(it->second);
 }
 
 void KeyTable::restore(Rests rests, std::uint64_t last_number, bool settled) {
   rests_ = std::move(rests);
-  identities_.clear();
-  for (const auto& [identity, rest] : rests_) identities_.emplace(rest.number, identity);
+  identity_by_number_.clear();
+  for (const auto& [identity, rest] : rests_) identity_by_number_.emplace(rest.number, identity);
   last_number_ = last_number;
   settled_ = settled;
 }
--- a/src/promises/key_table.h
+++ b/src/promises/key_table.h
@@ -1,13 +1,18 @@
-// Which keys rest, and for whom: the state that the keepers agree on. It changes by `apply` alone, which
-// gives the same result from the same entries on every keeper. No clock: that a rest is over is an entry of
-// its own.
+// The table of held keys and their holders. It is the replicated state of the keepers and changes only by
+// `apply`, which is deterministic: the same entries give the same state on every keeper. No clock: the end of
+// a hold is part of an entry.
 //
-// Why no key runs twice while it rests:
-// - it is given to one query of one process, and to no other before that query freed it or its rest is over;
-// - it is free before its rest is over only by the word of who has it, that nothing of it ran or will;
-// - each further attempt begins another rest under another number, which an older one's end does not end;
-// - a log that knows nothing of the one before it (it is new, or its disks are) gives nothing before the
-//   longest rest is over (`settled`).
+// Why no query with a held key runs twice:
+// - a key is granted to one query of one process, and to no other before that query releases it or its hold
+//   expires;
+// - it is released before its hold expires only by its holder, who thereby states that nothing of the query
+// has
+//   run or will run;
+// - each further attempt starts another hold under another number, which the end of an older one does not
+// end;
+// - a log that knows nothing of an earlier one (it is new, or its disks are) grants nothing before the
+// longest
+//   hold has expired (`settled`).
 #pragma once
 
 #include <map>
@@ -21,8 +26,8 @@
 struct Rest {
   MemberKey holder;
   std::uint64_t query = 0;
-  std::uint64_t number = 0;  // of all that were ever given
-  TimeUs time = 0;           // from the send
+  std::uint64_t number = 0;  // unique within the log, increasing; another one for each grant
+  TimeUs time = 0;           // duration of the hold from the send
   bool operator==(const Rest&) const = default;
 };
 
@@ -30,15 +35,16 @@
  public:
   using Rests = std::map<std::string, Rest>;  // by identity
 
-  // One answer for each ask, in their order.
+  // Applies an entry and returns one reply for each request, in their order.
   std::vector<KeyTold> apply(const KeyEntry& entry);
 
   const Rests& rests() const { return rests_; }
-  bool settled() const { return settled_; }
+  bool settled() const { return settled_; }  // all holds of earlier logs have expired: keys may be granted
   std::uint64_t last_number() const { return last_number_; }
-  const Rest* by_number(std::uint64_t number) const;
+  // Returns null if no such hold is left. The pointer is valid until the next change.
+  const Rest* find_by_number(std::uint64_t number) const;
 
-  // For snapshots.
+  // Replaces the state by that of a snapshot.
   void restore(Rests rests, std::uint64_t last_number, bool settled);
   bool operator==(const KeyTable&) const = default;
 
@@ -47,7 +53,7 @@
   void erase(Rests::iterator it);
 
   Rests rests_;
-  std::map<std::uint64_t, std::string> identities_;  // by number
+  std::map<std::uint64_t, std::string> identity_by_number_;
   std::uint64_t last_number_ = 0;
   bool settled_ = false;
 };
--- a/src/promises/key_watch.cpp
+++ b/src/promises/key_watch.cpp
@@ -7,9 +7,10 @@
 namespace orchidgw::promises {
 namespace {
 
-constexpr std::size_t kWaitingMost = 8192;  // asks
-constexpr std::size_t kWantsMost = 2048;    // agreed on in one step: bounds an entry's size and its delay
-constexpr std::size_t kOverMost = 4096;     // likewise
+constexpr std::size_t kMaxQueuedRequests = 8192;
+constexpr std::size_t kMaxKeysPerEntry =
+    2048;  // wanted or released: bounds the size of a log entry and its delay
+constexpr std::size_t kMaxEndedPerEntry = 4096;  // bounds the size of a log entry, too
 
 TimeUs over_after(TimeUs rest, const budget::Terms& terms) {
   return budget::Terms::surely_over_after(rest + terms.term, terms.drift_ppm);
@@ -20,23 +21,23 @@
 void KeyWatch::lead(TimeUs now, const KeyTable& table, const budget::Terms& terms) {
   follow();
   led_at_ = now;
-  for (const auto& [identity, rest] : table.rests()) count(now, rest, terms);
-  counted_ = table.last_number();
+  for (const auto& [identity, rest] : table.rests()) start_timer(now, rest, terms);
+  last_timed_number_ = table.last_number();
 }
 
 void KeyWatch::follow() {
-  asks_.clear();
-  due_.clear();
+  requests_.clear();
+  expirations_.clear();
   settles_at_ = 0;
 }
 
-void KeyWatch::count(TimeUs now, const Rest& rest, const budget::Terms& terms) {
-  due_.emplace(now + over_after(rest.time, terms), rest.number);
+void KeyWatch::start_timer(TimeUs now, const Rest& rest, const budget::Terms& terms) {
+  expirations_.emplace(now + over_after(rest.time, terms), rest.number);
 }
 
 bool KeyWatch::asked(KeyAsk ask) {
-  if (asks_.size() >= kWaitingMost) return false;
-  asks_.push_back(std::move(ask));
+  if (requests_.size() >= kMaxQueuedRequests) return false;
+  requests_.push_back(std::move(ask));
   return true;
 }
 
@@ -47,16 +48,17 @@
     out.settled = now >= settles_at_;
   }
   if (table.settled() || out.settled) settles_at_ = 0;
-  // Said again until it is agreed on: guards against an entry that could not be proposed.
-  for (auto it = due_.begin(); it != due_.end() && it->first <= now && out.over.size() < kOverMost;) {
-    const bool rests = table.by_number(it->second) != nullptr;
-    if (rests) out.over.push_back(it->second);
-    it = rests ? std::next(it) : due_.erase(it);
+  // An ended hold is reported again until its end is applied, in case an entry could not be proposed.
+  for (auto it = expirations_.begin();
+       it != expirations_.end() && it->first <= now && out.over.size() < kMaxEndedPerEntry;) {
+    const bool still_held = table.find_by_number(it->second) != nullptr;
+    if (still_held) out.over.push_back(it->second);
+    it = still_held ? std::next(it) : expirations_.erase(it);
   }
-  for (std::size_t wants = 0; !asks_.empty() && wants < kWantsMost;) {
-    wants += asks_.front().wants.size() + asks_.front().free.size();
-    out.asks.push_back(std::move(asks_.front()));
-    asks_.pop_front();
+  for (std::size_t key_count = 0; !requests_.empty() && key_count < kMaxKeysPerEntry;) {
+    key_count += requests_.front().wants.size() + requests_.front().free.size();
+    out.asks.push_back(std::move(requests_.front()));
+    requests_.pop_front();
   }
   return out;
 }
@@ -64,15 +66,16 @@
 void KeyWatch::applied(TimeUs now, const KeyTable& table, const std::vector<KeyTold>& told,
                        const budget::Terms& terms) {
   if (told.empty()) return;
-  for (std::uint64_t number = counted_ + 1; number <= table.last_number(); ++number)
-    if (const Rest* rest = table.by_number(number)) count(now, *rest, terms);
-  counted_ = table.last_number();
+  for (std::uint64_t number = last_timed_number_ + 1; number <= table.last_number(); ++number)
+    if (const Rest* rest = table.find_by_number(number)) start_timer(now, *rest, terms);
+  last_timed_number_ = table.last_number();
 }
 
 std::optional<TimeUs> KeyWatch::next_due() const {
   std::optional<TimeUs> due;
   if (settles_at_ > 0) due = settles_at_;
-  if (!due_.empty()) due = std::min(due.value_or(due_.begin()->first), due_.begin()->first);
+  if (!expirations_.empty())
+    due = std::min(due.value_or(expirations_.begin()->first), expirations_.begin()->first);
   return due;
 }
 
--- a/src/promises/key_watch.h
+++ b/src/promises/key_watch.h
@@ -1,9 +1,11 @@
-// The leading keeper's own part in what is promised, which is not agreed on: it gathers asks into entries,
-// and says when a rest is over by its clock. No I/O, no clock; times are on this keeper's clock.
+// The leading keeper's local state for key holds, which is not replicated: it batches key requests into log
+// entries and decides by its own clock when a hold has expired. No I/O, no clock of its own; times are on
+// this keeper's clock.
 //
-// A rest counts from when the promise was put in force here. Its holder sends at most `slack` after it asked,
-// which was earlier; so time and slack are waited out, and both clocks' drift. A new leader counts all rests
-// from when it knows that it leads and has all that was agreed on before.
+// A hold is timed from when it was applied here. Its holder sends the query less than a lease's term after
+// its request, which was earlier. So a hold ends after its duration plus a term, with the drift of both
+// clocks included. A new leader times all holds from when it knows that it leads and has applied all entries
+// committed before.
 #pragma once
 
 #include <deque>
@@ -15,32 +17,37 @@
 
 namespace orchidgw::promises {
 
-// How long after the ask a promise may be acted on, of a lease's term; and how long it is waited for.
-inline constexpr TimeUs kSendPart = 2;
+// A lease's term divided by this: how long after its request a granted hold may be acted on, and how long the
+// reply is waited for.
+inline constexpr TimeUs kGrantTimeoutDivisor = 2;
 
 class KeyWatch {
  public:
-  // `terms`: as agreed on, or this keeper's own where nothing is yet.
+  // This keeper leads from now on; `table` must have all entries committed before its election. `terms`: the
+  // agreed ones, or this keeper's own while there are none.
   void lead(TimeUs now, const KeyTable& table, const budget::Terms& terms);
+  // This keeper no longer leads. Queued requests are dropped; their senders repeat them.
   void follow();
 
-  bool asked(KeyAsk ask);  // false: too many wait already
+  bool asked(KeyAsk ask);  // queues a request; false: the queue is full
 
-  // What is to be agreed on next; to be called while no entry is on its way.
+  // Returns the next entry to propose, which may be empty. To be called only while no proposed entry is
+  // pending.
   KeyEntry next(TimeUs now, const KeyTable& table, const budget::Terms& terms);
-  // An entry was applied here: what it gave rests from now.
+  // An entry was applied here: the holds that it granted are timed from now.
   void applied(TimeUs now, const KeyTable& table, const std::vector<KeyTold>& told,
                const budget::Terms& terms);
+  // When `next` has to be called again even if nothing arrives; none: no need.
   std::optional<TimeUs> next_due() const;
 
  private:
-  void count(TimeUs now, const Rest& rest, const budget::Terms& terms);
+  void start_timer(TimeUs now, const Rest& rest, const budget::Terms& terms);
 
-  std::deque<KeyAsk> asks_;
-  std::multimap<TimeUs, std::uint64_t> due_;  // numbers of rests, some freed or begun anew meanwhile
-  std::uint64_t counted_ = 0;                 // the last number that is in there
+  std::deque<KeyAsk> requests_;
+  std::multimap<TimeUs, std::uint64_t> expirations_;  // numbers of holds, some released or renewed since
+  std::uint64_t last_timed_number_ = 0;               // highest number ever put into it
   TimeUs led_at_ = 0;
-  TimeUs settles_at_ = 0;  // 0: it is settled, or there is nothing to go by
+  TimeUs settles_at_ = 0;  // when holds of an earlier log have expired; 0: not timed
 };
 
 }  // namespace orchidgw::promises
--- a/src/promises/keys.h
+++ b/src/promises/keys.h
@@ -1,5 +1,5 @@
-// What controllers of a fleet promise each other about a query that must not run twice: a key that rests is
-// sent by nobody but who it rests for. Plain values; no I/O, no clock.
+// Data types of key holds, by which a fleet keeps a query that must not run twice from doing so: while a key
+// is held, only its holder may send the query. Plain values; no I/O, no clock.
 #pragma once
 
 #include <cstddef>
@@ -13,53 +13,53 @@
 
 using budget::MemberKey;
 
-// Keys that rest at one time: bounds the keepers' memory (some 300 bytes each) and a snapshot's size (some
-// 100 each). Part of what is agreed on: all keepers of a log have the same.
+// Largest number of held keys: bounds the keepers' memory (some 300 bytes each) and the size of a snapshot
+// (some 100 bytes each). `KeyTable::apply` depends on it, so all keepers of a log must have the same value.
 inline constexpr std::size_t kKeysMost = 20'000;
-inline constexpr std::size_t kIdentityMost = 96;  // bytes of one; a snapshot of all fits into a message
+inline constexpr std::size_t kIdentityMost = 96;  // bytes; a snapshot of all keys fits into a message
 
-// A query may be sent once its key rests for it; its further attempts ask again, and have the rest begin
-// anew.
+// Asks to hold a key for a query. The query may be sent once that is granted; each further attempt asks
+// again, which restarts the hold.
 struct Want {
-  std::uint64_t query = 0;  // of the controller that asks
-  std::string identity;     // of the query, for who sends it again
-  TimeUs rest = 0;          // how long from the send
+  std::uint64_t query = 0;  // number of the query at the controller that asks
+  std::string identity;     // recognizes the query when a client sends it again
+  TimeUs rest = 0;          // duration of the hold from the send
   bool operator==(const Want&) const = default;
 };
 
-// Nothing of that query has run, and nothing of it will be sent: its key is free.
+// Releases a key: nothing of that query has run, and nothing of it will be sent.
 struct Free {
   std::uint64_t query = 0;
   std::string identity;
   bool operator==(const Free&) const = default;
 };
 
-// All that a turn asks for.
+// All key requests and releases of one turn of a controller's event loop.
 struct KeyAsk {
   MemberKey from;
-  std::uint64_t seq = 0;  // rises with each ask of an incarnation
+  std::uint64_t seq = 0;  // rises with each request of an incarnation
   std::vector<Want> wants;
   std::vector<Free> free;
   bool operator==(const KeyAsk&) const = default;
 };
 
 enum class Told : std::uint32_t {
-  kGiven = 1,  // durable on a majority of the keepers
-  kRests,      // it may have run: another query has it
-  kNotNow      // no room, or what rested before this log began is not known to be over
+  kGiven = 1,  // granted, durable on a majority of the keepers
+  kRests,      // held by another query, which may have run
+  kNotNow      // the table is full, or holds from before this log are not known to have expired
 };
 
 struct KeyTold {
   MemberKey to;
-  std::uint64_t seq = 0;    // of the ask that it answers
-  std::vector<Told> wants;  // in their order
+  std::uint64_t seq = 0;    // of the request
+  std::vector<Told> wants;  // one result for each wanted key, in the order of the request
   bool operator==(const KeyTold&) const = default;
 };
 
-// What is agreed on in one step, in this order.
+// The keys' part of one entry of the replicated log, applied in this order.
 struct KeyEntry {
-  std::vector<std::uint64_t> over;  // numbers of rests, by the leading keeper's clock
-  bool settled = false;             // no key rests from before this log
+  std::vector<std::uint64_t> over;  // numbers of holds that have expired by the leading keeper's clock
+  bool settled = false;             // all holds from before this log have expired
   std::vector<KeyAsk> asks;
   bool empty() const { return over.empty() && asks.empty() && !settled; }
   bool operator==(const KeyEntry&) const = default;
--- a/tests/promises/keys_test.cpp
+++ b/tests/promises/keys_test.cpp
@@ -254,7 +254,7 @@
   holder.set_term(terms().term);
   holder.want(0, 7, {7, "k", kRest});
   table.apply({{}, false, {*holder.next(0)}});
-  const TimeUs given_up = terms().term / kSendPart;
+  const TimeUs given_up = terms().term / kGrantTimeoutDivisor;
   ASSERT_EQ(holder.given_up(given_up).size(), 1U);
   holder.let_go({7, "k"});
   ASSERT_EQ(holder.next(given_up)->free.size(), 1U);  // lost
@@ -287,8 +287,8 @@
   };
   EXPECT_EQ(said(0), kMany);
   EXPECT_EQ(said(1), 0U);
-  EXPECT_LE(holder.next_due(), terms().term / kSendPart);
-  EXPECT_EQ(said(terms().term / kSendPart), kMany);
+  EXPECT_LE(holder.next_due(), terms().term / kGrantTimeoutDivisor);
+  EXPECT_EQ(said(terms().term / kGrantTimeoutDivisor), kMany);
 }
 
 TEST(Keys, PastTheBoundNothingIsGivenAndWhatRestsStays) {
