--- a/src/promises/key_watch.h
+++ b/src/promises/key_watch.h
@@ -47,7 +47,7 @@
   std::multimap<TimeUs, std::uint64_t> expirations_;  // numbers of holds, some released or renewed since
   std::uint64_t last_timed_number_ = 0;               // highest number ever put into it
   TimeUs led_at_ = 0;
-  TimeUs settles_at_ = 0;  // when holds of an earlier log have expired; 0: not timed
+  TimeUs settles_at_ = 0;  // when holds of an earlier log have expired; 0: they have already, or no terms
 };
 
 }  // namespace orchidgw::promises
--- a/src/recovery/disk_claim.h
+++ b/src/recovery/disk_claim.h
@@ -1,11 +1,11 @@
-// May this keeper keep with the disk it has found? A keeper that lost its disk and begins anew under its old
-// identity votes a second time where it voted before, and knows nothing of what it acknowledged: what a
-// majority had is then with fewer. No I/O, no clock.
+// Decides whether a keeper may take part in the log with the disk that it has found. A keeper that has lost
+// its disk and starts anew under its old identity may vote twice in a term and lacks the entries that it has
+// acknowledged, so that entries that were on a majority are on fewer keepers. No I/O, no clock.
 //
-// A keeper whose disk knows of a log goes on with it. One whose disk is empty begins only once every other
-// keeper has said whom it knows to have begun, and none knows this one. Each keeper has that knowledge on its
-// disk before it acts on the first word of another's log, so that no vote of a keeper counts for who does not
-// remember it.
+// A keeper whose disk has a log continues it. A keeper whose disk is empty begins one only after every other
+// keeper has reported which keepers it knows to have begun, and none of them knows this one. Each keeper
+// stores that knowledge before it acts on the first log message of another keeper, so that a vote never
+// counts at a keeper that does not remember the voter.
 #pragma once
 
 #include <map>
@@ -18,36 +18,38 @@
 
 namespace orchidgw::recovery {
 
-// Of a disk that is another's: what is wrong with it; empty: it is this keeper's, or nobody's yet.
+// Returns an error text if the store `found` belongs to another keeper or fleet than `wanted`; else empty.
 std::string fault_of(const store::StoredOwner& found, const store::StoredOwner& wanted);
 
 class DiskClaim {
  public:
   enum class Verdict {
-    kMay,     // it goes on with its log, or begins one
-    kWait,    // for the other keepers' word
+    kMay,     // continue the log, or begin one
+    kWait,    // other keepers have not reported yet
     kMustNot  // it has begun before, on a disk that is lost
   };
 
-  // `self`: who this keeper is; what it knows comes from `found`.
+  // `self`: this keeper's identity. `found`: the content of its disk.
   DiskClaim(const store::StoredOwner& self, std::vector<fleet::KeeperId> voters, const store::Stored& found);
 
-  // A greeting, or a word of its log, of that keeper: true if it is news that it has begun, to be stored with
-  // what follows.
+  // A greeting of keeper `by` with the keepers that it knows to have begun, and a log message of keeper `by`.
+  // Both return true if it was not known that `by` has begun: `owner()` is to be stored then, before anything
+  // that follows from the message is sent.
   bool told(fleet::KeeperId by, const std::vector<fleet::KeeperId>& begun);
   bool met(fleet::KeeperId by);
+  // This keeper begins, or continues, its log.
   void begin() { owner_.begun.insert(owner_.keeper); }
 
   Verdict verdict() const;
-  std::vector<fleet::KeeperId> waits_for() const;
+  std::vector<fleet::KeeperId> waits_for() const;  // other keepers that have not reported yet
   const store::StoredOwner& owner() const { return owner_; }
 
  private:
-  bool is_another(fleet::KeeperId keeper) const;  // of this fleet's
+  bool is_other_voter(fleet::KeeperId keeper) const;  // a voter of this fleet, and not this keeper
 
   store::StoredOwner owner_;
   std::vector<fleet::KeeperId> voters_;
-  std::map<fleet::KeeperId, bool> knows_me_;  // of those that told
+  std::map<fleet::KeeperId, bool> knows_me_;  // by keeper that has reported
 };
 
 }  // namespace orchidgw::recovery
--- a/src/recovery/key_book.cpp
+++ b/src/recovery/key_book.cpp
@@ -5,22 +5,24 @@
 
 namespace orchidgw::recovery {
 
-KeyBook::KeyBook(std::string boot, TimeUs now, const std::vector<store::Intent>& found, std::size_t most)
-    : boot_(std::move(boot)), most_(most) {
-  for (const store::Intent& one : found) {
-    // Guards against a time that is not of this boot after all: no rest is longer than its window.
-    const bool known = one.boot == boot_ && one.at <= now;
-    const TimeUs until = (known ? one.at : now) + one.window;
-    TimeUs& rests = before_[one.identity];
-    rests = std::max(rests, until);
-    due_.emplace(until, Due{one.serial, one.identity});
-    last_serial_ = std::max(last_serial_, one.serial);
+KeyBook::KeyBook(std::string boot, TimeUs now, const std::vector<store::Intent>& found,
+                 std::size_t max_intents)
+    : boot_(std::move(boot)), max_intents_(max_intents) {
+  for (const store::Intent& intent : found) {
+    // A time in the future is not of this boot, whatever the intent says: no window may last longer than
+    // itself.
+    const bool time_known = intent.boot == boot_ && intent.at <= now;
+    const TimeUs until = (time_known ? intent.at : now) + intent.window;
+    TimeUs& held_until = held_until_[intent.identity];
+    held_until = std::max(held_until, until);
+    expirations_.emplace(until, Expiration{intent.serial, intent.identity});
+    last_serial_ = std::max(last_serial_, intent.serial);
   }
 }
 
 bool KeyBook::may_have_run(const std::string& identity, TimeUs now) const {
-  const auto it = before_.find(identity);
-  return it != before_.end() && now < it->second;
+  const auto it = held_until_.find(identity);
+  return it != held_until_.end() && now < it->second;
 }
 
 store::Intent KeyBook::intend(const std::string& identity, TimeUs window, TimeUs now) {
@@ -30,18 +32,18 @@
   out.boot = boot_;
   out.at = now;
   out.window = window;
-  due_.emplace(now + window, Due{out.serial, ""});
+  expirations_.emplace(now + window, Expiration{out.serial, ""});
   return out;
 }
 
 std::vector<std::uint64_t> KeyBook::over(TimeUs now) {
   std::vector<std::uint64_t> out;
-  while (!due_.empty() && due_.begin()->first <= now) {
-    const Due due = due_.begin()->second;
-    due_.erase(due_.begin());
-    out.push_back(due.serial);
-    const auto it = before_.find(due.identity);
-    if (it != before_.end() && it->second <= now) before_.erase(it);
+  while (!expirations_.empty() && expirations_.begin()->first <= now) {
+    const Expiration expired = expirations_.begin()->second;
+    expirations_.erase(expirations_.begin());
+    out.push_back(expired.serial);
+    const auto it = held_until_.find(expired.identity);
+    if (it != held_until_.end() && it->second <= now) held_until_.erase(it);
   }
   return out;
 }
--- a/src/recovery/key_book.h
+++ b/src/recovery/key_book.h
@@ -1,10 +1,11 @@
-// Which queries may have run before this start: of keyed ones by key, of those that must not run twice by the
-// client's reference. An intent is on a disk before the first byte of an attempt, so what a process that died
-// has sent is known to the next one. No I/O, no clock; times are on the machine's boot clock.
+// Tracks which queries may have run before this process started: keyed queries by their key, others that must
+// not run twice by the client's reference. An intent is stored on disk before the first byte of an attempt is
+// sent, so the next process knows what a process that died may have sent. No I/O, no clock of its own; times
+// are on the machine's boot clock.
 //
-// What is believed of a time: on the same start of the machine its boot clock went on, and what is left of a
-// window is known. After another start nobody knows how long the power was gone, and a wall clock may be back
-// in 1970: the whole window counts from now.
+// During the same boot of the machine its boot clock has continued, so the remainder of a window is known.
+// After another boot it is unknown how long the power was off, and the wall clock may be back in 1970: the
+// whole window counts from now.
 #pragma once
 
 #include <cstddef>
@@ -19,29 +20,30 @@
 
 class KeyBook {
  public:
-  // `boot`: names this start of the machine. `most`: intents at one time; past it nothing new is taken in.
-  KeyBook(std::string boot, TimeUs now, const std::vector<store::Intent>& found, std::size_t most);
+  // `boot`: identifies this boot of the machine. `found`: the stored intents. `max_intents`: bound above
+  // which `full` is true.
+  KeyBook(std::string boot, TimeUs now, const std::vector<store::Intent>& found, std::size_t max_intents);
 
-  // An earlier process may have had it run, and its window is not over.
+  // An earlier process may have run the query, and its window has not passed.
   bool may_have_run(const std::string& identity, TimeUs now) const;
-  bool full() const { return due_.size() >= most_; }
+  bool full() const { return expirations_.size() >= max_intents_; }
 
-  // To be stored before the attempt is sent.
+  // Returns a new intent, which must be stored before the attempt is sent.
   store::Intent intend(const std::string& identity, TimeUs window, TimeUs now);
-  // Serials of the intents whose window is over: forgotten here, to be erased there.
+  // Removes the intents whose window has passed; returns their serials, to be erased from the store.
   std::vector<std::uint64_t> over(TimeUs now);
 
  private:
-  struct Due {
+  struct Expiration {
     std::uint64_t serial = 0;
-    std::string identity;  // of an earlier process's; else empty
+    std::string identity;  // of an intent of an earlier process; else empty
   };
 
   std::string boot_;
-  std::size_t most_;
+  std::size_t max_intents_;
   std::uint64_t last_serial_ = 0;
-  std::unordered_map<std::string, TimeUs> before_;  // until when it rests
-  std::multimap<TimeUs, Due> due_;
+  std::unordered_map<std::string, TimeUs> held_until_;  // by identity: intents of earlier processes
+  std::multimap<TimeUs, Expiration> expirations_;
 };
 
 }  // namespace orchidgw::recovery
--- a/src/recovery/one_copy.cpp
+++ b/src/recovery/one_copy.cpp
@@ -6,7 +6,7 @@
 namespace orchidgw::recovery {
 namespace {
 
-std::string list(const std::set<fleet::KeeperId>& ids) {
+std::string join(const std::set<fleet::KeeperId>& ids) {
   std::string out;
   for (const fleet::KeeperId id : ids) {
     if (!out.empty()) out += ',';
@@ -15,29 +15,30 @@
   return out;
 }
 
-// Guards against two logs that both grant: each of these is a way to have the other keepers go on, too.
-std::string fault_of(const store::Stored& found, const std::vector<fleet::KeeperId>& voters,
-                     const fleet::FleetConfig& config, const std::string& self,
-                     const std::vector<fleet::KeeperId>& lost) {
+// Returns why the recovery is refused; empty: it is not. Each of these conditions would let other keepers
+// continue as well, so that two logs grant leases and keys independently.
+std::string refusal_text(const store::Stored& found, const std::vector<fleet::KeeperId>& voters,
+                         const fleet::FleetConfig& config, const std::string& self,
+                         const std::vector<fleet::KeeperId>& lost) {
   if (found.empty()) return "there is no log in it";
   if (!found.owner) return "it does not say whose it is: it was written by an earlier version";
-  const fleet::KeeperPlace* place = config.keeper_named(self);
-  if (place == nullptr) return "the fleet's file does not name " + self + " as a keeper";
-  if (place->id != found.owner->keeper)
+  const fleet::KeeperPlace* self_keeper = config.keeper_named(self);
+  if (self_keeper == nullptr) return "the fleet's file does not name " + self + " as a keeper";
+  if (self_keeper->id != found.owner->keeper)
     return "it is keeper " + std::to_string(found.owner->keeper) + "'s, and " + self + " is keeper " +
-           std::to_string(place->id) + " in the fleet's file";
+           std::to_string(self_keeper->id) + " in the fleet's file";
   if (config.name != found.owner->fleet) return "it is of fleet " + found.owner->fleet;
   if (config.number <= found.owner->number)
     return "fleet.number has to be raised above " + std::to_string(found.owner->number) +
-           " first: whoever has the old file must be a stranger";
+           " first: processes with the old file must be rejected";
   if (config.keepers.size() != 1)
     return "the fleet's file has to name " + self +
            " as its only keeper: others would begin a log of their own";
-  if (voters.empty()) return "its log does not tell who keeps it";
+  if (voters.empty()) return "its log does not tell which keepers have it";
   std::set<fleet::KeeperId> others(voters.begin(), voters.end());
-  others.erase(place->id);
+  others.erase(self_keeper->id);
   if (others != std::set<fleet::KeeperId>(lost.begin(), lost.end()))
-    return "--lost has to name all others that have kept this log: " + list(others);
+    return "--lost has to name all others that have kept this log: " + join(others);
   return "";
 }
 
@@ -47,7 +48,7 @@
                             const fleet::State& state, const fleet::FleetConfig& config,
                             const std::string& self, const std::vector<fleet::KeeperId>& lost) {
   OneCopy out;
-  out.fault = fault_of(found, voters, config, self, lost);
+  out.fault = refusal_text(found, voters, config, self, lost);
   if (!out.fault.empty()) return out;
   out.owner = {config.name, config.number, found.owner->keeper, {found.owner->keeper}};
   out.term = found.term + 1;
@@ -58,13 +59,13 @@
   out.state.keys.restore(state.keys.rests(), state.keys.last_number(), false);
   out.says = {
       "this copy ends at entry " + std::to_string(out.index) + " of term " + std::to_string(out.index_term) +
-          "; what the lost keepers agreed on behind it is not known and will not be",
+          "; what the lost keepers agreed on behind it is not known and can't be recovered",
       "leases: " + std::to_string(state.ledger.members().size()) +
-          " are known, all are waited out for a term before any is granted",
+          " are known; nothing is granted until a full term has passed and all leases have expired",
       "keys: " + std::to_string(state.keys.rests().size()) +
-          " are known to rest; none is given before the longest rest is over, as others may",
-      "lost for good: nothing else is kept in the log",
-      "keepers " + list({lost.begin(), lost.end()}) +
+          " are known to be held; none is granted until the longest hold has expired, as others may be held",
+      "nothing else was kept in the log, so nothing else is lost",
+      "keepers " + join({lost.begin(), lost.end()}) +
           " must never run again with their old disks and the old file, nor any controller with that file"};
   return out;
 }
--- a/src/recovery/one_copy.h
+++ b/src/recovery/one_copy.h
@@ -1,7 +1,7 @@
-// Going on from one keeper's copy, after a majority of the keepers is lost with its disks: an operator's
-// hand. What the lost ones may have agreed on behind this copy's end is not known, and nothing is built on
-// that there was nothing: leases out there are waited out as after a lost log, and no key is given before the
-// longest rest is over. No I/O, no clock.
+// Recovery of a fleet from the copy of one keeper, started by an operator after a majority of the keepers is
+// lost with its disks. What the lost keepers may have committed after the end of this copy is unknown, and it
+// is not assumed that there was nothing: as after a lost log, nothing is leased before all leases have
+// expired, and no key is granted before the longest hold has expired. No I/O, no clock.
 #pragma once
 
 #include <string>
@@ -14,17 +14,19 @@
 namespace orchidgw::recovery {
 
 struct OneCopy {
-  std::string fault;              // why it can't be; else empty
-  std::vector<std::string> says;  // what the operator is to know before
-  store::StoredOwner owner;       // from now on
-  std::uint64_t term = 0;
-  std::uint64_t index = 0;  // of the last entry of the copy; all of them go into one snapshot
-  std::uint64_t index_term = 0;
+  std::string fault;              // why the recovery is refused; empty: it is not, and the rest is set
+  std::vector<std::string> says;  // shown to the operator before anything is written
+  store::StoredOwner owner;       // of the store after the recovery
+  std::uint64_t term = 0;         // of the log after the recovery
+  std::uint64_t index = 0;        // of the last entry of the copy; all of them go into one snapshot
+  std::uint64_t index_term = 0;   // term of that entry
   fleet::State state;
 };
 
-// `found`: of this keeper's disk, `voters`: by its log, `state`: what it leads to. `config`: of the file that
-// is to hold from now on. `lost`: as the operator names them.
+// Checks whether the fleet can be recovered from this copy, and returns what is to be written. `found`: the
+// content of this keeper's disk. `voters`: the keepers according to its log. `state`: the result of its
+// entries. `config`: the fleet's file that applies from now on. `self`: name of this controller. `lost`: the
+// keepers that the operator names as lost.
 OneCopy go_on_from_one_copy(const store::Stored& found, const std::vector<fleet::KeeperId>& voters,
                             const fleet::State& state, const fleet::FleetConfig& config,
                             const std::string& self, const std::vector<fleet::KeeperId>& lost);
--- a/src/recovery/stages.cpp
+++ b/src/recovery/stages.cpp
@@ -25,15 +25,15 @@
 }
 
 Stage next_stage(Stage before, const Facts& facts) {
-  // A lease tells that all before it is there, whatever this controller's own disk does.
+  // A lease implies that all earlier conditions are met, whatever the state of this controller's own disk.
   if (!facts.leased) {
     if (facts.keeps && !facts.store_ok) return Stage::kStore;
     if (!facts.keeper_heard) return Stage::kKeepers;
     return facts.leader_known ? Stage::kTerms : Stage::kLog;
   }
   if (facts.level < budget::kFullLevel) return Stage::kRamp;
-  const bool went_on = before == Stage::kRamp || before == Stage::kKeys || before == Stage::kFull;
-  if (!went_on && !facts.settled) return Stage::kBudgets;
+  const bool was_past_budgets = before == Stage::kRamp || before == Stage::kKeys || before == Stage::kFull;
+  if (!was_past_budgets && !facts.settled) return Stage::kBudgets;
   return facts.keys_settled ? Stage::kFull : Stage::kKeys;
 }
 
--- a/src/recovery/stages.h
+++ b/src/recovery/stages.h
@@ -1,6 +1,5 @@
-// In which order a controller comes back, as seen by whom it has heard of and what it holds: the first thing
-// that is missing names the stage. What each answers to clients is in docs/design-recovery.md. No I/O, no
-// clock.
+// The stages in which a controller returns to service. The first condition that is not met determines the
+// stage. docs/design-recovery.md states what clients are answered in each. No I/O, no clock.
 #pragma once
 
 #include <string_view>
@@ -10,31 +9,31 @@
 namespace orchidgw::recovery {
 
 enum class Stage {
-  kStore,    // a keeper's own disk is not in use: being asked about, failing, or not to be used any more
-  kKeepers,  // no keeper has been heard of
-  kLog,      // keepers answer, and none leads: too few of them, or an election
-  kTerms,    // one leads, and gives nothing yet: leases from before are waited out
-  kBudgets,  // it has a lease and not half of what it is due: leases of before the stop are waited out
-  kRamp,     // budgets are divided, and the whole fleet is held to a part of them while engines are cold
-  kKeys,     // what must not run twice is not let in yet: keys of a log that is lost may rest
-  kFull
+  kStore,  // the keeper's own disk is not in use: not yet cleared with the others, failing, or not to be used
+  kKeepers,  // no keeper has been heard from
+  kLog,      // keepers answer, but none leads: too few of them, or an election
+  kTerms,    // a keeper leads, but grants nothing until earlier leases have expired
+  kBudgets,  // leased, but less than half of its target until leases from before the restart have expired
+  kRamp,  // budgets are divided, and the fleet is limited to a part of them while engines are in slow start
+  kKeys,  // queries that must not run twice are not accepted yet: keys of a lost log may still be held
+  kFull   // full service
 };
 
 std::string_view name_of(Stage stage);
 
 struct Facts {
   bool keeps = false;         // this controller is a keeper
-  bool store_ok = false;      // and its disk is in use
-  bool keeper_heard = false;  // any keeper, itself too
+  bool store_ok = false;      // its disk is in use
+  bool keeper_heard = false;  // any keeper has been heard from, including itself
   bool leader_known = false;
   bool leased = false;
-  bool settled = false;  // it has half of what it is due
+  bool settled = false;  // see budget::Grant::settled
   budget::Parts level = budget::kFullLevel;
-  bool keys_settled = true;  // true where the fleet keeps none
+  bool keys_settled = true;  // see KeyTable::settled; true if the fleet holds no keys
 };
 
-// What comes after `before`. A controller that was in full service falls back only with its lease or the
-// ramp: parts that move by demand are ordinary life.
+// Returns the stage that follows `before`. A controller that was in full service falls back only if it loses
+// its lease or a ramp starts: parts that move with demand are normal operation.
 Stage next_stage(Stage before, const Facts& facts);
 
 }  // namespace orchidgw::recovery
--- a/src/recovery/vote_floor.h
+++ b/src/recovery/vote_floor.h
@@ -1,14 +1,15 @@
-// For whom may a keeper vote after its start? Its disk may be a copy from before: it does not know then what
-// it acknowledged since, and that it has voted. It can't tell that by itself; so each keeper says in its
-// greeting where it stands, and this one votes for no candidate that lacks what it was told of, and in no
-// term that it may have voted in. No I/O, no clock.
+// Restricts the votes of a keeper after its start. Its disk may be an old copy, which lacks entries that it
+// has acknowledged and votes that it has cast since. It can't detect that by itself. So each keeper reports
+// the position of its log in its greeting, and this one votes for no candidate whose log is behind what was
+// reported, and in no term in which it may have voted already. No I/O, no clock.
 //
-// What was agreed on holds for good. Where all come back at once nobody knows what was agreed on: then what
-// anybody has holds, for a while, as it may not have been. Until every other keeper has greeted, and for a
-// bounded time at the most, it votes for nobody: guards against two that elect one of them before the third,
-// who has what the old disk lost, is heard.
+// Committed entries count permanently. If all keepers return at once, none of them knows which entries were
+// committed; then any reported entry counts for a limited time, as it may not have been committed. Until
+// every other keeper has sent its greeting, but for a limited time, this keeper votes for nobody. Otherwise
+// two keepers could elect one of them before the third is heard, which has the entries that the old disk
+// lacks.
 //
-// What it does not hold against: that third one coming later than the bound.
+// This does not protect against a third keeper that returns later than that.
 #pragma once
 
 #include <map>
@@ -20,24 +21,27 @@
 
 class VoteFloor {
  public:
-  // `patience`: how long others' greetings are waited for, and what they have without its being agreed on
-  // counts for as long again.
-  VoteFloor(fleet::KeeperId self, std::vector<fleet::KeeperId> voters, TimeUs now, TimeUs patience);
+  // `greeting_timeout`: how long the greetings of the others are waited for. Reported entries that are not
+  // known to be committed count for twice that time.
+  VoteFloor(fleet::KeeperId self, std::vector<fleet::KeeperId> voters, TimeUs now, TimeUs greeting_timeout);
 
+  // A greeting of keeper `by` reports the position of its log.
   void told(fleet::KeeperId by, const fleet::LogStanding& at);
-  // May that word of a log come in, or leave? Only requests for votes may not.
+  // Returns whether a log message may be received or sent. Only vote requests are ever withheld.
   bool lets(const fleet::LogMessage& message, TimeUs now) const;
+  // Returns the other keepers whose greetings are still waited for.
   std::vector<fleet::KeeperId> waits_for(TimeUs now) const;
-  const fleet::LogPosition& agreed() const { return agreed_; }
+  // The last position that is reported to be committed.
+  const fleet::LogPosition& agreed() const { return reported_agreed_; }
 
  private:
   fleet::KeeperId self_;
   std::vector<fleet::KeeperId> voters_;
-  TimeUs waits_until_;
-  TimeUs last_until_;
-  std::map<fleet::KeeperId, std::uint64_t> terms_;  // of their first greetings
-  fleet::LogPosition agreed_;
-  fleet::LogPosition last_;
+  TimeUs wait_for_all_until_;
+  TimeUs uncommitted_counts_until_;
+  std::map<fleet::KeeperId, std::uint64_t> reported_terms_;  // by keeper, from its first greeting
+  fleet::LogPosition reported_agreed_;
+  fleet::LogPosition reported_last_;
 };
 
 }  // namespace orchidgw::recovery
