--- a/src/recovery/one_copy.cpp
+++ b/src/recovery/one_copy.cpp
@@ -61,10 +61,10 @@
       "this copy ends at entry " + std::to_string(out.index) + " of term " + std::to_string(out.index_term) +
           "; what the lost keepers agreed on behind it is not known and can't be recovered",
       "leases: " + std::to_string(state.ledger.members().size()) +
-          " are known; nothing is granted until a full term has passed and all leases have expired",
+          " are known; no lease is granted for a full term, after which any of them has expired",
       "keys: " + std::to_string(state.keys.rests().size()) +
-          " are known to be held; none is granted until the longest hold has expired, as others may be held",
-      "nothing else was kept in the log, so nothing else is lost",
+          " are known to be held; none is given before the longest hold is over, as others may be held",
+      "lost for good: nothing else is kept in the log",
       "keepers " + join({lost.begin(), lost.end()}) +
           " must never run again with their old disks and the old file, nor any controller with that file"};
   return out;
--- a/tests/budget/divide_test.cpp
+++ b/tests/budget/divide_test.cpp
@@ -1,4 +1,4 @@
-// The division of parts by demand.
+// Tests of the weighted max-min division.
 #include "budget/divide.h"
 
 #include <gtest/gtest.h>
@@ -16,8 +16,8 @@
 
 TEST(Divide, WhoNeedsLessLeavesMoreToAllOthers) {
   EXPECT_EQ(divide(100, {{10, 0, 1}, {50, 0, 1}, {90, 0, 1}}), (std::vector<Parts>{10, 45, 45}));
-  EXPECT_EQ(divide(100, {{10, 0, 1}, {10, 0, 1}}), (std::vector<Parts>{50, 50}));  // what is left is spread
-  EXPECT_EQ(divide(9, {{0, 10, 1}, {0, 3, 1}}), (std::vector<Parts>{6, 3}));       // too few for the least
+  EXPECT_EQ(divide(100, {{10, 0, 1}, {10, 0, 1}}), (std::vector<Parts>{50, 50}));  // the remainder is spread
+  EXPECT_EQ(divide(9, {{0, 10, 1}, {0, 3, 1}}), (std::vector<Parts>{6, 3}));  // not enough for all of `least`
   EXPECT_EQ(divide(90, {{90, 0, 2}, {90, 0, 1}}), (std::vector<Parts>{60, 30}));
   EXPECT_EQ(divide(100, {{0, 20, 1}, {500, 20, 1}}), (std::vector<Parts>{20, 80}));
   EXPECT_EQ(divide(0, {{5, 5, 1}}), (std::vector<Parts>{0}));
@@ -38,7 +38,8 @@
     for (const Claim& c : claims) least += c.least;
     for (std::size_t i = 0; i < n; ++i) {
       if (least <= pool) RC_ASSERT(out[i] >= claims[i].least);
-      // Who lacks some of its demand has no less than any other beyond its least, but for the rounding.
+      // A claim whose demand is not met gets no less than any other claim beyond its least, except for
+      // rounding.
       if (out[i] >= claims[i].demand) continue;
       for (std::size_t j = 0; j < n; ++j) RC_ASSERT(out[j] <= std::max(out[i], claims[j].least) + 1);
     }
--- a/tests/budget/fleet_world.h
+++ b/tests/budget/fleet_world.h
@@ -1,9 +1,10 @@
-// A fleet in small, on a network and a clock moved by hand: the real keepers' roles, ledgers and holders over
-// a model of an agreed log. Keepers lag behind it, stop and forget; a leader that was deposed goes on as one
-// until it learns of it, and the entry it had on its way may have been agreed on or not. Each message may be
-// lost, doubled, late or out of turn; members stop, start anew and forget; clocks run apart within the drift.
+// A small simulated fleet on a network and a clock that the test controls: the real keeper roles, ledgers and
+// lease holders over a model of the replicated log. Keepers lag behind the log, stop and lose their state. A
+// deposed leader continues as one until it is informed, and its pending entry may have been committed or not.
+// Each message may be lost, duplicated, late or out of order. Members stop and restart without their state.
+// Clocks drift apart within the bound.
 //
-// After each step the parts that all processes use together are held against the whole.
+// `overdrawn` compares the parts that all processes use together with the total, after each step of a test.
 #pragma once
 
 #include <optional>
@@ -20,167 +21,180 @@
  public:
   FleetWorld(Terms terms, std::size_t members, std::size_t keepers = 1) : terms_(std::move(terms)) {
     keepers_.assign(keepers, KeeperNode(terms_));
-    for (std::size_t i = 0; i < members; ++i) start(i);
+    for (std::size_t member = 0; member < members; ++member) start(member);
     elect(0, false);
-    pass(Terms::surely_over_after(terms_.term, terms_.drift_ppm));  // a new log waits for what may be out
+    pass(Terms::surely_over_after(terms_.term, terms_.drift_ppm));  // a new log waits for earlier leases
   }
 
   std::size_t members() const { return nodes_.size(); }
   std::size_t keepers() const { return keepers_.size(); }
-  std::size_t messages() const { return asks_.size() + grants_.size(); }
+  std::size_t messages() const { return requests_.size() + grants_.size(); }
   TimeUs now() const { return now_; }
 
   void pass(TimeUs time) { now_ += time; }
 
-  // Another keeper leads, with a clock of its own; the one before does not know, or is the same one and has
-  // forgotten all but the log. `adopt`: the entry that was on its way is on the log.
-  void elect(std::size_t k, bool adopt, double clock_rate = 1) {
+  // Another keeper leads, with its own clock. The previous leader is not informed, or is the same keeper,
+  // which has lost everything but the log. `commit_pending`: the previous leader's pending entry is on the
+  // log.
+  void elect(std::size_t keeper, bool commit_pending, double clock_rate = 1) {
     std::optional<fleet::Entry>& pending = keepers_[leader_].pending;
-    if (adopt && pending) {
-      agreed_.push_back(*pending);
+    if (commit_pending && pending) {
+      committed_log_.push_back(*pending);
       pending.reset();
       ++keepers_[leader_].finished;
     }
-    if (k == leader_) keepers_[k] = KeeperNode(terms_);
-    keepers_[k].rate = clock_rate;
-    if (keepers_[k].pending) keepers_[k].pending.reset(), ++keepers_[k].finished;
-    leader_ = k;
-    catch_up(k);
-    keepers_[k].leads = true;
-    keepers_[k].term = ++term_;
-    turn(k);
+    if (keeper == leader_) keepers_[keeper] = KeeperNode(terms_);
+    keepers_[keeper].clock_rate = clock_rate;
+    if (keepers_[keeper].pending) keepers_[keeper].pending.reset(), ++keepers_[keeper].finished;
+    leader_ = keeper;
+    catch_up(keeper);
+    keepers_[keeper].leads = true;
+    keepers_[keeper].term = ++term_;
+    run_keeper(keeper);
   }
-  // All keepers lose their disks at once, and begin another log; holders go on.
+  // All keepers lose their disks at once and begin another log; lease holders continue.
   void lose_disks() {
     for (KeeperNode& keeper : keepers_) keeper = KeeperNode(terms_);
-    agreed_.clear();
+    committed_log_.clear();
     elect(leader_, false);
   }
-  // Who was deposed learns of it, and all of the log.
-  bool learn() {
-    bool any = false;
-    for (std::size_t k = 0; k < keepers_.size(); ++k) {
-      if (k == leader_) continue;
-      any = any || keepers_[k].leads;
-      keepers_[k].leads = false;
-      if (keepers_[k].pending) keepers_[k].pending.reset(), ++keepers_[k].finished;
-      catch_up(k);
-      turn(k);
+  // Deposed leaders are informed, and all keepers catch up with the log. Returns whether any was deposed.
+  bool inform_deposed() {
+    bool any_deposed = false;
+    for (std::size_t keeper = 0; keeper < keepers_.size(); ++keeper) {
+      if (keeper == leader_) continue;
+      any_deposed = any_deposed || keepers_[keeper].leads;
+      keepers_[keeper].leads = false;
+      if (keepers_[keeper].pending) keepers_[keeper].pending.reset(), ++keepers_[keeper].finished;
+      catch_up(keeper);
+      run_keeper(keeper);
     }
-    return any;
+    return any_deposed;
   }
-  // The leader proposes what it has to say.
+  // The leader proposes its next entry. Returns whether it did.
   bool propose() {
     const bool before = keepers_[leader_].pending.has_value();
-    for (std::size_t k = 0; k < keepers_.size(); ++k)
-      if (keepers_[k].leads) turn(k);  // so does who was deposed, to itself
+    for (std::size_t keeper = 0; keeper < keepers_.size(); ++keeper)
+      if (keepers_[keeper].leads) run_keeper(keeper);  // a deposed leader does so, too, to itself
     return !before && keepers_[leader_].pending;
   }
-  // What it proposed is on the log of a majority: it applies it and answers.
+  // The leader's pending entry is committed: the leader applies it and answers.
   bool commit() {
     KeeperNode& leader = keepers_[leader_];
     if (!leader.pending) return false;
-    agreed_.push_back(*leader.pending);
+    committed_log_.push_back(*leader.pending);
     leader.pending.reset();
     ++leader.finished;
     catch_up(leader_);
-    turn(leader_);
+    run_keeper(leader_);
     return true;
   }
-  bool agree() {
+  bool propose_and_commit() {
     propose();
     return commit();
   }
 
-  // A member's part. One that sleeps neither asks nor hears, and its clock goes on.
-  void start(std::size_t i, double clock_rate = 1) {
-    if (nodes_.size() <= i) nodes_.resize(i + 1);
-    nodes_[i].holder.emplace(MemberKey{"c" + std::to_string(i), ++incarnation_}, terms_);
-    nodes_[i].rate = clock_rate;
-    nodes_[i].started_at = now_;
-    nodes_[i].used.assign(terms_.allowances.size(), 0);
-    nodes_[i].demand.assign(terms_.allowances.size(), 0);
+  // Starts a member, with a new incarnation and without its state. A paused member neither sends nor
+  // receives, while its clock continues.
+  void start(std::size_t member, double clock_rate = 1) {
+    if (nodes_.size() <= member) nodes_.resize(member + 1);
+    nodes_[member].holder.emplace(MemberKey{"c" + std::to_string(member), ++incarnation_}, terms_);
+    nodes_[member].clock_rate = clock_rate;
+    nodes_[member].started_at = now_;
+    nodes_[member].in_use.assign(terms_.allowances.size(), 0);
+    nodes_[member].demand.assign(terms_.allowances.size(), 0);
+  }
+  void kill(std::size_t member) { nodes_[member].holder.reset(); }
+  bool is_running(std::size_t member) const { return nodes_[member].holder.has_value(); }
+  void demand(std::size_t member, Parts parts) {
+    nodes_[member].demand.assign(terms_.allowances.size(), parts);
   }
-  void kill(std::size_t i) { nodes_[i].holder.reset(); }
-  bool lives(std::size_t i) const { return nodes_[i].holder.has_value(); }
-  void demand(std::size_t i, Parts parts) { nodes_[i].demand.assign(terms_.allowances.size(), parts); }
 
-  // Of the leader, or of one that was deposed if there is one that does not know.
-  void ask(std::size_t i, bool deposed = false) {
-    if (!lives(i)) return;
-    settle_use();
+  // The member sends a lease request to the leader, or to a deposed leader that is not informed, if there is
+  // one.
+  void ask(std::size_t member, bool deposed = false) {
+    if (!is_running(member)) return;
+    stop_expired_use();
     std::size_t to = leader_;
-    for (std::size_t k = 0; deposed && k < keepers_.size(); ++k)
-      if (k != leader_ && keepers_[k].leads) to = k;
-    asks_.push_back({to, i, nodes_[i].holder->ask(local(i), nodes_[i].demand, beyond_cut_off(i))});
+    for (std::size_t keeper = 0; deposed && keeper < keepers_.size(); ++keeper)
+      if (keeper != leader_ && keepers_[keeper].leads) to = keeper;
+    requests_.push_back(
+        {to, member,
+         nodes_[member].holder->ask(local_time(member), nodes_[member].demand, beyond_cut_off(member))});
   }
 
-  // Uses all that it may: what it took stays in use until it is released, whatever its lease is by then.
-  void use(std::size_t i) {
-    for (std::size_t a = 0; lives(i) && a < terms_.allowances.size(); ++a)
-      nodes_[i].used[a] = std::max(nodes_[i].used[a], nodes_[i].holder->usable(local(i), a));
+  // The member uses all that it may. It stays in use until `release`, whatever the lease is by then.
+  void use(std::size_t member) {
+    for (std::size_t allowance = 0; is_running(member) && allowance < terms_.allowances.size(); ++allowance)
+      nodes_[member].in_use[allowance] = std::max(
+          nodes_[member].in_use[allowance], nodes_[member].holder->usable(local_time(member), allowance));
   }
-  void release(std::size_t i) {
-    for (std::size_t a = 0; lives(i) && a < terms_.allowances.size(); ++a)
-      nodes_[i].used[a] = std::min(nodes_[i].used[a], nodes_[i].holder->usable(local(i), a));
+  void release(std::size_t member) {
+    for (std::size_t allowance = 0; is_running(member) && allowance < terms_.allowances.size(); ++allowance)
+      nodes_[member].in_use[allowance] = std::min(
+          nodes_[member].in_use[allowance], nodes_[member].holder->usable(local_time(member), allowance));
   }
 
-  // The network's part, by the place of the message.
-  void deliver(std::size_t n, bool keep = false) {
-    if (n < asks_.size()) {
-      const Asked asked = asks_[n];
-      if (!keep) asks_.erase(asks_.begin() + static_cast<long>(n));
-      keepers_[asked.keeper].role.asked(Log(*this, asked.keeper), asked.member, asked.ask);
+  // Delivers the message at `index`, requests first, then grants; `keep_copy`: it arrives again later.
+  void deliver(std::size_t index, bool keep_copy = false) {
+    if (index < requests_.size()) {
+      const PendingRequest request = requests_[index];
+      if (!keep_copy) requests_.erase(requests_.begin() + static_cast<long>(index));
+      keepers_[request.keeper].role.asked(Log(*this, request.keeper), request.member, request.ask);
       return;
     }
-    n -= asks_.size();
-    if (n >= grants_.size()) return;
-    const fleet::GrantTold told = grants_[n];
-    if (!keep) grants_.erase(grants_.begin() + static_cast<long>(n));
-    for (std::size_t i = 0; i < nodes_.size(); ++i)
-      if (lives(i)) nodes_[i].holder->answered(local(i), told.grant, told.terms);
+    index -= requests_.size();
+    if (index >= grants_.size()) return;
+    const fleet::GrantTold reply = grants_[index];
+    if (!keep_copy) grants_.erase(grants_.begin() + static_cast<long>(index));
+    for (std::size_t member = 0; member < nodes_.size(); ++member)
+      if (is_running(member)) nodes_[member].holder->answered(local_time(member), reply.grant, reply.terms);
   }
-  void lose(std::size_t n) {
-    if (n < asks_.size()) {
-      asks_.erase(asks_.begin() + static_cast<long>(n));
-    } else if (n - asks_.size() < grants_.size()) {
-      grants_.erase(grants_.begin() + static_cast<long>(n - asks_.size()));
+  void lose(std::size_t index) {
+    if (index < requests_.size()) {
+      requests_.erase(requests_.begin() + static_cast<long>(index));
+    } else if (index - requests_.size() < grants_.size()) {
+      grants_.erase(grants_.begin() + static_cast<long>(index - requests_.size()));
     }
   }
-  void lose_all() { asks_.clear(), grants_.clear(); }
+  void lose_all() { requests_.clear(), grants_.clear(); }
 
-  // What is in use, or may be from this moment on; controllers that are not there count with their cut-off
-  // part. Empty: all is well.
+  // Returns an error text if the parts that are in use, or may be used from now on, exceed the total; else
+  // empty. Controllers that are not running count with their cut-off part.
   std::string overdrawn() {
-    settle_use();
-    for (std::size_t a = 0; a < terms_.allowances.size(); ++a) {
+    stop_expired_use();
+    for (std::size_t allowance = 0; allowance < terms_.allowances.size(); ++allowance) {
       Parts sum = 0;
-      for (std::size_t i = 0; i < nodes_.size(); ++i)
-        sum += lives(i) ? std::max(nodes_[i].used[a], nodes_[i].holder->usable(local(i), a))
-                        : terms_.allowances[a].cut_off;
-      sum += (terms_.largest - static_cast<int>(nodes_.size())) * terms_.allowances[a].cut_off;
-      if (sum > terms_.allowances[a].whole)
-        return terms_.allowances[a].name + ": " + std::to_string(sum) + " of " +
-               std::to_string(terms_.allowances[a].whole) + " in use";
+      for (std::size_t member = 0; member < nodes_.size(); ++member)
+        sum += is_running(member) ? std::max(nodes_[member].in_use[allowance],
+                                             nodes_[member].holder->usable(local_time(member), allowance))
+                                  : terms_.allowances[allowance].cut_off;
+      sum += (terms_.largest - static_cast<int>(nodes_.size())) * terms_.allowances[allowance].cut_off;
+      if (sum > terms_.allowances[allowance].whole)
+        return terms_.allowances[allowance].name + ": " + std::to_string(sum) + " of " +
+               std::to_string(terms_.allowances[allowance].whole) + " in use";
     }
     return "";
   }
 
-  // Every part but the reserve is somebody's.
+  // Whether all parts except the reserve are leased.
   bool all_in_use() {
-    for (std::size_t a = 0; a < terms_.allowances.size(); ++a) {
+    for (std::size_t allowance = 0; allowance < terms_.allowances.size(); ++allowance) {
       Parts sum = 0;
-      for (std::size_t i = 0; i < nodes_.size(); ++i)
-        sum += lives(i) ? nodes_[i].holder->usable(local(i), a) - terms_.allowances[a].cut_off : 0;
-      if (sum != terms_.shared(a) - terms_.allowances[a].reserve) return false;
+      for (std::size_t member = 0; member < nodes_.size(); ++member)
+        sum += is_running(member) ? nodes_[member].holder->usable(local_time(member), allowance) -
+                                        terms_.allowances[allowance].cut_off
+                                  : 0;
+      if (sum != terms_.shared(allowance) - terms_.allowances[allowance].reserve) return false;
     }
     return true;
   }
 
-  const Holder& holder(std::size_t i) const { return *nodes_[i].holder; }
-  TimeUs local(std::size_t i) const {
-    return nodes_[i].started_at +
-           static_cast<TimeUs>(static_cast<double>(now_ - nodes_[i].started_at) * nodes_[i].rate);
+  const Holder& holder(std::size_t member) const { return *nodes_[member].holder; }
+  TimeUs local_time(std::size_t member) const {
+    return nodes_[member].started_at +
+           static_cast<TimeUs>(static_cast<double>(now_ - nodes_[member].started_at) *
+                               nodes_[member].clock_rate);
   }
 
  private:
@@ -188,65 +202,68 @@
     explicit KeeperNode(const Terms& own) : role(own) {}
     fleet::KeeperRole role;
     std::size_t applied = 0;
-    bool leads = false;  // as it thinks
+    bool leads = false;  // from its own point of view
     std::uint64_t term = 0;
     std::optional<fleet::Entry> pending;
     std::uint64_t finished = 0;
-    double rate = 1;
+    double clock_rate = 1;
   };
-  class Log final : public fleet::AgreedLog {  // as one keeper sees it
+  class Log final : public fleet::AgreedLog {  // the log as seen by one keeper
    public:
-    Log(FleetWorld& world, std::size_t k) : world_(world), at_(world.keepers_[k]) {}
-    bool leads() const override { return at_.leads; }
-    std::uint64_t term() const override { return at_.term; }
+    Log(FleetWorld& world, std::size_t keeper) : world_(world), node_(world.keepers_[keeper]) {}
+    bool leads() const override { return node_.leads; }
+    std::uint64_t term() const override { return node_.term; }
     fleet::KeeperId leader() const override { return static_cast<fleet::KeeperId>(world_.leader_ + 1); }
     bool propose(const fleet::Entry& entry) override {
-      if (at_.pending) return false;
-      at_.pending = entry;
+      if (node_.pending) return false;
+      node_.pending = entry;
       return true;
     }
-    std::uint64_t finished() const override { return at_.finished; }
+    std::uint64_t finished() const override { return node_.finished; }
 
    private:
     FleetWorld& world_;
-    KeeperNode& at_;
+    KeeperNode& node_;
   };
-  struct Asked {
+  struct PendingRequest {
     std::size_t keeper = 0;
     std::size_t member = 0;
     Ask ask;
   };
-  struct Node {
+  struct MemberNode {
     std::optional<Holder> holder;
-    double rate = 1;
+    double clock_rate = 1;
     TimeUs started_at = 0;
-    std::vector<Parts> used;
+    std::vector<Parts> in_use;
     std::vector<Parts> demand;
   };
 
-  void catch_up(std::size_t k) {
-    for (KeeperNode& at = keepers_[k]; at.applied < agreed_.size(); ++at.applied)
-      at.role.apply(agreed_[at.applied]);
+  void catch_up(std::size_t keeper) {
+    for (KeeperNode& node = keepers_[keeper]; node.applied < committed_log_.size(); ++node.applied)
+      node.role.apply(committed_log_[node.applied]);
   }
-  void turn(std::size_t k) {
-    Log log(*this, k);
-    keepers_[k].role.run(static_cast<TimeUs>(static_cast<double>(now_) * keepers_[k].rate), log);
-    for (const auto& reply : keepers_[k].role.take_replies())
-      if (const auto* told = std::get_if<fleet::GrantTold>(&reply.answer)) grants_.push_back(*told);
+  void run_keeper(std::size_t keeper) {
+    Log log(*this, keeper);
+    keepers_[keeper].role.run(static_cast<TimeUs>(static_cast<double>(now_) * keepers_[keeper].clock_rate),
+                              log);
+    for (const auto& reply : keepers_[keeper].role.take_replies())
+      if (const auto* granted = std::get_if<fleet::GrantTold>(&reply.answer)) grants_.push_back(*granted);
   }
 
-  // When a lease ends all beyond the cut-off part stops: what outlives it is bounded elsewhere (docs).
-  void settle_use() {
-    for (std::size_t i = 0; i < nodes_.size(); ++i) {
-      if (!lives(i)) continue;
-      if (!nodes_[i].holder->leased(local(i))) release(i);
+  // When a lease expires, use beyond the cut-off part stops; work that outlives the lease is bounded
+  // elsewhere (see docs).
+  void stop_expired_use() {
+    for (std::size_t member = 0; member < nodes_.size(); ++member) {
+      if (!is_running(member)) continue;
+      if (!nodes_[member].holder->leased(local_time(member))) release(member);
     }
   }
 
-  std::vector<Parts> beyond_cut_off(std::size_t i) const {
+  std::vector<Parts> beyond_cut_off(std::size_t member) const {
     std::vector<Parts> out;
-    for (std::size_t a = 0; a < terms_.allowances.size(); ++a)
-      out.push_back(std::max<Parts>(nodes_[i].used[a] - terms_.allowances[a].cut_off, 0));
+    for (std::size_t allowance = 0; allowance < terms_.allowances.size(); ++allowance)
+      out.push_back(
+          std::max<Parts>(nodes_[member].in_use[allowance] - terms_.allowances[allowance].cut_off, 0));
     return out;
   }
 
@@ -256,9 +273,9 @@
   std::vector<KeeperNode> keepers_;
   std::size_t leader_ = 0;
   std::uint64_t term_ = 0;
-  std::vector<fleet::Entry> agreed_;
-  std::vector<Node> nodes_;
-  std::vector<Asked> asks_;
+  std::vector<fleet::Entry> committed_log_;
+  std::vector<MemberNode> nodes_;
+  std::vector<PendingRequest> requests_;
   std::vector<fleet::GrantTold> grants_;
 };
 
--- a/tests/budget/sum_test.cpp
+++ b/tests/budget/sum_test.cpp
@@ -1,6 +1,6 @@
-// The sum over all controllers never passes the whole, and comes back to it: schedules of faults by seed, and
-// every schedule of a small fleet up to a stated length. tests/budget/mutants.sh has them run against each
-// rule left out.
+// The parts in use by all controllers together never exceed the total, and all of it is in use again after
+// faults. Tested with random fault schedules by seed, and with every schedule of a small fleet up to a given
+// length. tests/budget/mutants.sh runs these tests against sources in which one rule is left out.
 #include <gtest/gtest.h>
 
 #include "fleet_world.h"
@@ -14,7 +14,7 @@
   return std::uniform_int_distribution<std::size_t>(0, most - 1)(random);
 }
 
-// Any two clocks run apart by the drift of `small_terms` at the most.
+// The rates of any two clocks differ by at most the drift of `small_terms`.
 double clock_rate(std::mt19937_64& random) { return 1 + static_cast<double>(draw(random, 11)) * 0.001; }
 
 void step(FleetWorld& world, std::mt19937_64& random) {
@@ -28,10 +28,10 @@
     case 3:
       return draw(random, 4) == 0 ? world.kill(i) : world.release(i);
     case 4:
-      return world.lives(i) ? world.demand(i, static_cast<Parts>(draw(random, 900)))
-                            : world.start(i, clock_rate(random));
+      return world.is_running(i) ? world.demand(i, static_cast<Parts>(draw(random, 900)))
+                                 : world.start(i, clock_rate(random));
     case 5:
-      if (draw(random, 2) == 0) world.learn();
+      if (draw(random, 2) == 0) world.inform_deposed();
       if (draw(random, 60) == 0) return world.lose_disks();
       return draw(random, 4) > 0
                  ? world.use(i)
@@ -39,7 +39,7 @@
     case 6:
       return world.lose(draw(random, world.messages() + 1));
     case 7:
-      return world.deliver(draw(random, world.messages() + 1), true);  // and comes again
+      return world.deliver(draw(random, world.messages() + 1), true);  // and it arrives again later
     case 8:
       return world.use(i);
     case 9:
@@ -48,11 +48,11 @@
     case 11:
       return world.ask(i, draw(random, 4) == 0);
     case 12:
-      world.agree();
+      world.propose_and_commit();
       return;
     default:
       world.deliver(draw(random, world.messages() + 1));
-      draw(random, 3) == 0 ? world.propose() : world.agree();
+      draw(random, 3) == 0 ? world.propose() : world.propose_and_commit();
   }
 }
 
@@ -67,12 +67,12 @@
       ASSERT_EQ(overdrawn, "") << "seed " << seed << " step " << n;
     }
     for (std::size_t i = 0; i < world.members(); ++i)
-      leased += world.lives(i) && world.holder(i).number() > 0;
+      leased += world.is_running(i) && world.holder(i).number() > 0;
   }
-  EXPECT_GT(leased, 2'000U);  // the schedules do lease
+  EXPECT_GT(leased, 2'000U);  // the schedules do grant leases
 }
 
-// With faults over and demand steady every part is in use again within two terms.
+// Without faults and with constant demand all parts are in use again within two terms.
 TEST(Sum, ComesBackToTheWholeOnceFaultsAreOver) {
   for (std::uint64_t seed = 1; seed <= 300; ++seed) {
     std::mt19937_64 random(seed);
@@ -85,12 +85,12 @@
         world.release(i);
         world.ask(i);
       }
-      while (world.messages() > 0) world.deliver(0), world.agree();
+      while (world.messages() > 0) world.deliver(0), world.propose_and_commit();
       world.pass(300 * kMs);
       ASSERT_EQ(world.overdrawn(), "") << "seed " << seed;
     }
     bool any = false;
-    for (std::size_t i = 0; i < world.members(); ++i) any = any || world.lives(i);
+    for (std::size_t i = 0; i < world.members(); ++i) any = any || world.is_running(i);
     EXPECT_TRUE(!any || world.all_in_use()) << "seed " << seed;
   }
 }
@@ -107,7 +107,7 @@
   EXPECT_EQ(ledger.members().begin()->second.number, 1U);
 }
 
-// A leader that was deposed decided it; the renewal at the new one came before it in the log.
+// A deposed leader decided on the expiry, and the new leader's renewal precedes it in the log.
 TEST(Sum, AnExpiryDecidedBeforeARenewalEndsNothing) {
   Ledger ledger;
   ledger.apply({{small_terms()}, {}, {ask_of(1, 0, 10)}});
@@ -118,8 +118,9 @@
   EXPECT_TRUE(ledger.members().empty());
 }
 
-// Starts of a name are ordered by wall time, its only use: set back, the later start waits for the earlier
-// one's lease, and a late word of the earlier one never puts out the one that runs.
+// Incarnations of a name are ordered by the wall clock, which is used for nothing else. If it was set back,
+// the later start waits until the earlier one's lease has expired, and a late request of the earlier one
+// never supersedes the running one.
 TEST(Sum, AStartWithItsClockSetBackWaitsUntilTheEarlierLeaseIsOver) {
   Ledger ledger;
   const auto ask = [](std::uint64_t incarnation, std::uint64_t seq) {
@@ -131,19 +132,20 @@
   EXPECT_EQ(ledger.apply({{}, {}, {ask(40, 1)}}).at(0).kind, Grant::Kind::kNoRoom);
   ledger.apply({{}, {{{"c0", 50}, 1}}, {}});
   EXPECT_EQ(ledger.apply({{}, {}, {ask(40, 2)}}).at(0).kind, Grant::Kind::kLease);
-  EXPECT_EQ(ledger.apply({{}, {}, {ask(60, 1)}}).at(0).kind, Grant::Kind::kLease);  // a further start
+  EXPECT_EQ(ledger.apply({{}, {}, {ask(60, 1)}}).at(0).kind, Grant::Kind::kLease);  // another start
   EXPECT_EQ(ledger.apply({{}, {}, {ask(40, 3)}}).at(0).kind, Grant::Kind::kSuperseded);
-  EXPECT_EQ(ledger.members().size(), 2U);  // its parts are its own until they are over
+  EXPECT_EQ(ledger.members().size(), 2U);  // the superseded member keeps its parts until they expire
 }
 
-// Seen in `make run-fleet`: 24 entries a second after a kill, until the next grant.
+// Guards against proposing the same expiry again and again: `make run-fleet` showed 24 entries a second after
+// a kill, until the next grant.
 TEST(Sum, ALeaseThatIsOverIsSaidOnce) {
   FleetWorld world(small_terms(), 2);
   for (std::size_t i = 0; i < 2; ++i) world.ask(i);
-  while (world.messages() > 0) world.deliver(0), world.agree();
+  while (world.messages() > 0) world.deliver(0), world.propose_and_commit();
   world.pass(4'000 * kMs);
-  EXPECT_TRUE(world.agree());
-  EXPECT_FALSE(world.agree());
+  EXPECT_TRUE(world.propose_and_commit());
+  EXPECT_FALSE(world.propose_and_commit());
 }
 
 TEST(Sum, MoreControllersThanTheLargestNumberHaveNoLease) {
@@ -156,24 +158,24 @@
   }
 }
 
-// A newcomer finds the reserve, and the least of it before others have given anything back.
+// A new member gets `least` from the reserve before other members have given anything back.
 TEST(Sum, ANewcomerHasItsLeastFromTheReserveAtOnce) {
   FleetWorld world(small_terms(), 2);
   for (int n = 0; n < 4; ++n) {
     for (std::size_t i = 0; i < 2; ++i) world.ask(i);
-    while (world.messages() > 0) world.deliver(0), world.agree();
+    while (world.messages() > 0) world.deliver(0), world.propose_and_commit();
   }
   ASSERT_TRUE(world.all_in_use());
   world.start(2);
   world.ask(2);
-  while (world.messages() > 0) world.deliver(0), world.agree();
-  // And no more, lest the next one find none: `make run-fleet` showed a third controller with nothing for 7
-  // s.
+  while (world.messages() > 0) world.deliver(0), world.propose_and_commit();
+  // It gets no more than that, so that some of the reserve is left for the next one: `make run-fleet` showed
+  // a third controller without any parts for 7 s.
   EXPECT_EQ(world.holder(2).part(0), small_terms().allowances[0].least);
   EXPECT_EQ(world.overdrawn(), "");
 }
 
-// Files come to members and keepers in any order.
+// Members and keepers get a new file in any order.
 TEST(Sum, AMemberWithANewerFileThanTheKeepersHasItsLeaseAllTheSame) {
   Terms newer = small_terms();
   newer.revision = 2;
@@ -196,46 +198,46 @@
   EXPECT_GT(holder.part(2), 0);
 }
 
-// Small changes of demand move nothing; an earlier start of a name keeps its parts until they are over.
+// Small changes of demand don't change a lease.
 TEST(Sum, ALeaseDoesNotShrinkByALittleDemand) {
   FleetWorld world(small_terms(), 2);
-  const auto settle = [&world] {
+  const auto run_renewals = [&world] {
     for (int n = 0; n < 4; ++n) {
       for (std::size_t i = 0; i < 2; ++i) world.ask(i);
-      while (world.messages() > 0) world.deliver(0), world.agree();
+      while (world.messages() > 0) world.deliver(0), world.propose_and_commit();
     }
   };
   world.demand(0, 800);
   world.demand(1, 800);
-  settle();
+  run_renewals();
   const Parts before = world.holder(0).part(0);
   world.demand(0, before - 10);
-  settle();
+  run_renewals();
   EXPECT_EQ(world.holder(0).part(0), before);
   world.demand(0, before / 2);
-  settle();
+  run_renewals();
   EXPECT_LT(world.holder(0).part(0), before);
 }
 
-// Every schedule of two holders and the keepers: each step is one of these, tried in all orders up to the
-// length.
+// Runs every schedule of two lease holders and the keepers up to a given length; each step is one of the
+// actions of `act`.
 class Exhaustive {
  public:
   void run(const FleetWorld& from, int left) {
     for (int action = 0; left > 0 && fault.empty() && action < kActions; ++action) {
       FleetWorld world = from;
-      if (!act(world, action)) continue;  // it changed nothing: what follows is looked at without it
-      ++played;
+      if (!act(world, action)) continue;  // it changed nothing: the schedules without it cover the rest
+      ++schedule_count;
       done.push_back(action);
       fault = world.overdrawn();
       if (!fault.empty())
-        for (const int one : done) fault += " " + std::to_string(one);
+        for (const int done_action : done) fault += " " + std::to_string(done_action);
       run(world, left - 1);
       done.pop_back();
     }
   }
 
-  // Both holders begin with leases that fill the whole, and use them.
+  // Both holders start with leases on all parts except the reserve, and use them.
   static FleetWorld begin(std::size_t keepers) {
     Terms t;
     t.revision = 1;
@@ -245,14 +247,14 @@
     FleetWorld world(t, 2, keepers);
     for (int n = 0; n < 3; ++n) {
       for (std::size_t i = 0; i < 2; ++i) world.ask(i);
-      while (world.messages() > 0) world.deliver(0), world.agree();
+      while (world.messages() > 0) world.deliver(0), world.propose_and_commit();
     }
     for (std::size_t i = 0; i < 2; ++i) world.use(i);
     return world;
   }
 
   std::string fault;
-  std::size_t played = 0;
+  std::size_t schedule_count = 0;
 
  private:
   static constexpr int kActions = 12;
@@ -273,9 +275,9 @@
         return true;
       case 3:
         world.deliver(0);
-        return world.agree() || before > 0;
+        return world.propose_and_commit() || before > 0;
       case 4:
-        if (before > 0) world.deliver(before - 1, true);  // the newest first, and it comes again
+        if (before > 0) world.deliver(before - 1, true);  // the newest first; it arrives again later
         return before > 0;
       case 5:
         world.lose(before - 1);
@@ -286,10 +288,10 @@
         return world.commit();
       case 8:
       case 9:
-        world.elect(++leads % world.keepers(), action == 9);
+        world.elect(++elections % world.keepers(), action == 9);
         return true;
       case 10:
-        return world.learn();
+        return world.inform_deposed();
       default:
         world.kill(1);
         world.start(1);
@@ -297,13 +299,13 @@
     }
   }
   std::vector<int> done;
-  static inline std::size_t leads = 0;
+  static inline std::size_t elections = 0;
 };
 
 class OfKeepers : public ::testing::TestWithParam<std::size_t> {};
 
 TEST_P(OfKeepers, TheSumNeverPassesTheWholeInAnyScheduleOfTwoHolders) {
-#ifdef __SANITIZE_ADDRESS__  // some 40 times as slow: one step less, and the sums are as in Release
+#ifdef __SANITIZE_ADDRESS__  // some 40 times slower: one step less; the arithmetic is the same as in Release
   constexpr int kSteps = 5;
   constexpr std::size_t kLeast = 20'000;
 #else
@@ -313,7 +315,7 @@
   Exhaustive all;
   all.run(Exhaustive::begin(GetParam()), kSteps);
   EXPECT_EQ(all.fault, "");
-  EXPECT_GT(all.played, kLeast);
+  EXPECT_GT(all.schedule_count, kLeast);
 }
 
 INSTANTIATE_TEST_SUITE_P(Exhaustive, OfKeepers, ::testing::Values(1, 2, 3));
--- a/tests/promises/keys_test.cpp
+++ b/tests/promises/keys_test.cpp
@@ -1,6 +1,6 @@
-// Keys of a fleet by hand: holders and keepers whose clocks run apart, messages that are lost, late and
-// doubled, leaders that change with an entry on its way, logs that are lost: no key is sent twice while it
-// rests.
+// Key holds on a simulated network and clock: holders and keepers with clocks that drift apart, messages that
+// are lost, late or duplicated, leaders that change with an entry pending, logs that are lost. No query is
+// sent twice while its key is held.
 #include <gtest/gtest.h>
 
 #include <random>
@@ -26,27 +26,27 @@
 class KeyWorld {
  public:
   KeyWorld(std::size_t holders, std::uint64_t seed) : random_(seed), holders_(holders) {
-    for (std::size_t h = 0; h < holders; ++h) start(h);
-    for (Keeper& k : keepers_) k.rate = rate(), k.table.apply({{}, true, {}});
+    for (std::size_t holder = 0; holder < holders; ++holder) start(holder);
+    for (Keeper& keeper : keepers_) keeper.rate = rate(), keeper.table.apply({{}, true, {}});
     lead(0);
   }
 
   void step() {
-    const std::size_t h = random_() % holders_.size();
+    const std::size_t holder = random_() % holders_.size();
     switch (random_() % 16) {
       case 0:
       case 1:
       case 2:
-        return want(h);
+        return want(holder);
       case 3:
-        return free_one(h);
+        return release_unsent(holder);
       case 4:
-        return random_() % 4 == 0 ? start(h) : send_asks(h);  // it was killed
+        return random_() % 4 == 0 ? start(holder) : send_asks(holder);  // the holder was killed
       case 5:
-        return random_() % 4 == 0 ? lead(random_() % 2) : propose();  // an entry on its way may be lost
+        return random_() % 4 == 0 ? lead(random_() % 2) : propose();  // a pending entry may be lost
       case 6:
       case 7:
-        return send_asks(h);
+        return send_asks(holder);
       case 8:
       case 9:
         return deliver(asks_, [this](const KeyAsk& ask) { keepers_[leader_].watch.asked(ask); });
@@ -55,7 +55,7 @@
         return deliver(answers_, [this](const KeyTold& told) { answered(told); });
       case 12:
       case 13:
-        agree();
+        commit();
         return propose();
       case 14:
         if (random_() % 100 == 0) lose_log();
@@ -65,17 +65,17 @@
     }
   }
 
-  // Faults are over: what is wanted is given, or known to rest, in time.
-  bool comes_to_rest() {
+  // Without faults a wanted key is granted in time. Returns whether it was.
+  bool recovers() {
     asks_.clear(), answers_.clear();
-    for (int n = 0; n < 4; ++n) pass(2 * kRest), propose(), agree();
+    for (int round = 0; round < 4; ++round) pass(2 * kRest), propose(), commit();
     want(0);
-    for (int n = 0; n < 6; ++n) {
+    for (int round = 0; round < 6; ++round) {
       send_asks(0);
       reliable_ = true;
       while (!asks_.empty())
         deliver(asks_, [this](const KeyAsk& ask) { keepers_[leader_].watch.asked(ask); });
-      propose(), agree();
+      propose(), commit();
       const std::uint64_t before = sent;
       while (!answers_.empty()) deliver(answers_, [this](const KeyTold& told) { answered(told); });
       if (sent > before) return true;
@@ -85,7 +85,7 @@
   }
 
   std::string fault;
-  std::uint64_t sent = 0, rested = 0, freed = 0;
+  std::uint64_t sent = 0, refused = 0, released = 0;
 
  private:
   struct Keeper {
@@ -97,46 +97,46 @@
     std::optional<KeyHolder> keys;
     double rate = 1;
     std::map<std::uint64_t, std::string> wants;   // by query
-    std::map<std::uint64_t, std::string> unsent;  // given, not sent yet: it may be freed
+    std::map<std::uint64_t, std::string> unsent;  // by query; granted, not sent yet: may be released
   };
 
   double rate() { return 1 + (static_cast<double>(random_() % 201) - 100) / 100 * 0.0099; }
-  TimeUs local(double rate) const { return static_cast<TimeUs>(static_cast<double>(now_) * rate); }
-  TimeUs at_holder(std::size_t h) const { return local(holders_[h].rate); }
-  TimeUs at_leader() const { return local(keepers_[leader_].rate); }
+  TimeUs local_time(double rate) const { return static_cast<TimeUs>(static_cast<double>(now_) * rate); }
+  TimeUs holder_time(std::size_t holder) const { return local_time(holders_[holder].rate); }
+  TimeUs leader_time() const { return local_time(keepers_[leader_].rate); }
   void pass(TimeUs time) { now_ += time; }
 
-  void start(std::size_t h) {
-    holders_[h] = {};
-    holders_[h].rate = rate();
-    holders_[h].keys.emplace(MemberKey{"c" + std::to_string(h), ++incarnation_});
-    holders_[h].keys->set_term(terms().term);
+  void start(std::size_t holder) {
+    holders_[holder] = {};
+    holders_[holder].rate = rate();
+    holders_[holder].keys.emplace(MemberKey{"c" + std::to_string(holder), ++incarnation_});
+    holders_[holder].keys->set_term(terms().term);
   }
-  void want(std::size_t h) {
+  void want(std::size_t holder) {
     const std::uint64_t query = ++query_;
     const std::string key(1, static_cast<char>('a' + random_() % 4));
-    holders_[h].wants[query] = key;
-    holders_[h].keys->want(at_holder(h), query, {query, key, kRest});
+    holders_[holder].wants[query] = key;
+    holders_[holder].keys->want(holder_time(holder), query, {query, key, kRest});
   }
-  void send_asks(std::size_t h) {
-    for (const auto& verdict : holders_[h].keys->given_up(at_holder(h)))
-      holders_[h].wants.erase(verdict.ticket);
-    while (const auto ask = holders_[h].keys->next(at_holder(h))) asks_.push_back(*ask);
+  void send_asks(std::size_t holder) {
+    for (const auto& verdict : holders_[holder].keys->given_up(holder_time(holder)))
+      holders_[holder].wants.erase(verdict.ticket);
+    while (const auto ask = holders_[holder].keys->next(holder_time(holder))) asks_.push_back(*ask);
   }
-  void free_one(std::size_t h) {
-    if (holders_[h].unsent.empty()) return;
-    const auto node = holders_[h].unsent.extract(holders_[h].unsent.begin());
-    holders_[h].keys->let_go({node.key(), node.mapped()});
-    ++freed;
+  void release_unsent(std::size_t holder) {
+    if (holders_[holder].unsent.empty()) return;
+    const auto node = holders_[holder].unsent.extract(holders_[holder].unsent.begin());
+    holders_[holder].keys->let_go({node.key(), node.mapped()});
+    ++released;
   }
   void answered(const KeyTold& told) {
-    for (std::size_t h = 0; h < holders_.size(); ++h) {
-      for (const auto& verdict : holders_[h].keys->answered(at_holder(h), told)) {
-        const auto node = holders_[h].wants.extract(verdict.ticket);
-        if (verdict.told == Told::kRests) ++rested;
+    for (std::size_t holder = 0; holder < holders_.size(); ++holder) {
+      for (const auto& verdict : holders_[holder].keys->answered(holder_time(holder), told)) {
+        const auto node = holders_[holder].wants.extract(verdict.ticket);
+        if (verdict.told == Told::kRests) ++refused;
         if (verdict.told != Told::kGiven) continue;
         if (!reliable_ && random_() % 4 == 0) {
-          holders_[h].unsent.insert({verdict.ticket, node.mapped()});
+          holders_[holder].unsent.insert({verdict.ticket, node.mapped()});
           continue;
         }
         ++sent;
@@ -148,41 +148,41 @@
     }
   }
 
-  void lead(std::size_t k) {
-    if (pending_ && random_() % 2 == 0) agree();
+  void lead(std::size_t keeper) {
+    if (pending_ && random_() % 2 == 0) commit();
     pending_.reset();
     keepers_[leader_].watch.follow();
-    leader_ = k;
-    keepers_[k].watch.lead(at_leader(), keepers_[k].table, terms());
+    leader_ = keeper;
+    keepers_[keeper].watch.lead(leader_time(), keepers_[keeper].table, terms());
   }
   void propose() {
     if (pending_) return;
-    KeyEntry entry = keepers_[leader_].watch.next(at_leader(), keepers_[leader_].table, terms());
+    KeyEntry entry = keepers_[leader_].watch.next(leader_time(), keepers_[leader_].table, terms());
     if (!entry.empty()) pending_ = std::move(entry);
   }
-  void agree() {
+  void commit() {
     if (!pending_) return;
     const KeyEntry entry = *std::exchange(pending_, std::nullopt);
-    for (std::size_t k = 0; k < 2; ++k) {
-      const auto told = keepers_[k].table.apply(entry);
-      if (k != leader_) continue;
-      keepers_[k].watch.applied(at_leader(), keepers_[k].table, told, terms());
+    for (std::size_t keeper = 0; keeper < 2; ++keeper) {
+      const auto told = keepers_[keeper].table.apply(entry);
+      if (keeper != leader_) continue;
+      keepers_[keeper].watch.applied(leader_time(), keepers_[keeper].table, told, terms());
       for (const KeyTold& one : told) answers_.push_back(one);
     }
   }
-  // All disks at once: another log, which knows nothing.
+  // All keepers lose their disks at once: a new, empty log.
   void lose_log() {
     pending_.reset();
-    for (Keeper& k : keepers_) k.table = {};
+    for (Keeper& keeper : keepers_) keeper.table = {};
     lead(leader_);
   }
   template <typename T, typename Take>
   void deliver(std::vector<T>& messages, Take take) {
     if (messages.empty()) return;
-    const std::size_t n = random_() % messages.size();
-    const T message = messages[n];
-    // Else it comes twice; else it is lost.
-    if (reliable_ || random_() % 8 != 0) messages.erase(messages.begin() + static_cast<long>(n));
+    const std::size_t index = random_() % messages.size();
+    const T message = messages[index];
+    // One message in 8 stays and is delivered again, one in 8 is not delivered.
+    if (reliable_ || random_() % 8 != 0) messages.erase(messages.begin() + static_cast<long>(index));
     if (reliable_ || random_() % 8 != 0) take(message);
   }
 
@@ -200,21 +200,21 @@
 };
 
 TEST(Keys, NoneIsSentTwiceWhileItRestsWhateverIsLostLateOrDoubled) {
-  std::uint64_t sent = 0, rested = 0, freed = 0;
-  int came = 0;
+  std::uint64_t sent = 0, refused = 0, released = 0;
+  int recovered = 0;
   constexpr int kSeeds = 2'000;
   for (int seed = 1; seed <= kSeeds; ++seed) {
     KeyWorld world(2 + static_cast<std::size_t>(seed % 2), static_cast<std::uint64_t>(seed));
-    for (int n = 0; n < 400 && world.fault.empty(); ++n) world.step();
+    for (int step = 0; step < 400 && world.fault.empty(); ++step) world.step();
     ASSERT_EQ(world.fault, "") << "seed " << seed;
-    sent += world.sent, rested += world.rested, freed += world.freed;
-    came += world.comes_to_rest() ? 1 : 0;
+    sent += world.sent, refused += world.refused, released += world.released;
+    recovered += world.recovers() ? 1 : 0;
     ASSERT_EQ(world.fault, "") << "seed " << seed;
   }
   EXPECT_GT(sent, 1U * kSeeds);
-  EXPECT_GT(rested, 2U * kSeeds);
-  EXPECT_GT(freed, kSeeds / 4U);
-  EXPECT_EQ(came, kSeeds);
+  EXPECT_GT(refused, 2U * kSeeds);
+  EXPECT_GT(released, kSeeds / 4U);
+  EXPECT_EQ(recovered, kSeeds);
 }
 
 KeyAsk ask_of(std::uint64_t seq, std::vector<Want> wants, std::vector<Free> free = {}) {
@@ -227,13 +227,13 @@
   EXPECT_EQ(table.apply({{}, false, {ask_of(1, {{7, "k", 5}})}})[0].wants[0], Told::kGiven);
   EXPECT_EQ(table.apply({{}, false, {ask_of(2, {{7, "k", 5}})}})[0].wants[0], Told::kGiven);
   EXPECT_EQ(table.apply({{}, false, {ask_of(3, {{8, "k", 5}})}})[0].wants[0], Told::kRests);
-  table.apply({{1}, false, {}});  // of the first attempt's
+  table.apply({{1}, false, {}});  // the first attempt's hold expires
   EXPECT_EQ(table.apply({{}, false, {ask_of(4, {{8, "k", 5}})}})[0].wants[0], Told::kRests);
   table.apply({{2}, false, {}});
   EXPECT_EQ(table.apply({{}, false, {ask_of(5, {{8, "k", 5}})}})[0].wants[0], Told::kGiven);
 }
 
-// A query that never had the key, or had it before, ends: its word comes while another one has it.
+// The release by a query that never held the key, or held it before, arrives while another one holds it.
 TEST(Keys, OnlyWhoHasAKeyFreesIt) {
   KeyTable table;
   table.apply({{}, true, {}});
@@ -245,8 +245,8 @@
   EXPECT_EQ(table.apply({{}, false, {ask_of(6, {{9, "k", 5}})}})[0].wants[0], Told::kGiven);
 }
 
-// The keepers agreed on a want whose query was refused since, and never heard that it is free: the next query
-// of that key is not turned away by it, whichever of the words was lost.
+// The keepers granted a key whose query has been refused since, and did not receive the release. The next
+// query with that key must not be refused because of it, whichever message was lost.
 TEST(Keys, WhatWasGivenUpIsSaidToBeFreeWithEachWantOfItsKeyUntilThatIsHeard) {
   KeyTable table;
   table.apply({{}, true, {}});
@@ -254,30 +254,30 @@
   holder.set_term(terms().term);
   holder.want(0, 7, {7, "k", kRest});
   table.apply({{}, false, {*holder.next(0)}});
-  const TimeUs given_up = terms().term / kGrantTimeoutDivisor;
-  ASSERT_EQ(holder.given_up(given_up).size(), 1U);
+  const TimeUs timed_out_at = terms().term / kGrantTimeoutDivisor;
+  ASSERT_EQ(holder.given_up(timed_out_at).size(), 1U);
   holder.let_go({7, "k"});
-  ASSERT_EQ(holder.next(given_up)->free.size(), 1U);  // lost
-  holder.want(given_up + 1, 8, {8, "other", kRest});
-  EXPECT_TRUE(holder.next(given_up + 1)->free.empty());
-  holder.want(given_up + 2, 9, {9, "k", kRest});
-  ASSERT_EQ(holder.next(given_up + 2)->free.size(), 1U);  // lost, too
-  const auto again = holder.next(given_up + 2 + terms().term / 10);
-  const auto told = table.apply({{}, false, {*again}});
-  const auto verdicts = holder.answered(given_up + 3 + terms().term / 10, told[0]);
-  ASSERT_EQ(verdicts.size(), 2U);
-  EXPECT_EQ(verdicts[1].told, Told::kGiven);
-  holder.want(given_up + terms().term, 10, {10, "k", kRest});
-  EXPECT_TRUE(holder.next(given_up + terms().term)->free.empty());  // it was heard
+  ASSERT_EQ(holder.next(timed_out_at)->free.size(), 1U);  // this message is lost
+  holder.want(timed_out_at + 1, 8, {8, "other", kRest});
+  EXPECT_TRUE(holder.next(timed_out_at + 1)->free.empty());
+  holder.want(timed_out_at + 2, 9, {9, "k", kRest});
+  ASSERT_EQ(holder.next(timed_out_at + 2)->free.size(), 1U);  // this one as well
+  const auto request = holder.next(timed_out_at + 2 + terms().term / 10);
+  const auto told = table.apply({{}, false, {*request}});
+  const auto results = holder.answered(timed_out_at + 3 + terms().term / 10, told[0]);
+  ASSERT_EQ(results.size(), 2U);
+  EXPECT_EQ(results[1].told, Told::kGiven);
+  holder.want(timed_out_at + terms().term, 10, {10, "k", kRest});
+  EXPECT_TRUE(holder.next(timed_out_at + terms().term)->free.empty());  // the release was received
 }
 
-// More than fit into one ask: all are said, and none is lost behind those that were said before.
+// More releases than fit into one request: all are sent, and repeats of earlier ones hold none of them back.
 TEST(Keys, ManyFreedAreSaidInAsManyAsksAsTheyNeed) {
   KeyHolder holder({"c", 1});
   holder.set_term(terms().term);
   constexpr std::uint64_t kMany = 700;
-  for (std::uint64_t n = 0; n < kMany; ++n) holder.let_go({n, "k" + std::to_string(n)});
-  const auto said = [&](TimeUs now) {
+  for (std::uint64_t index = 0; index < kMany; ++index) holder.let_go({index, "k" + std::to_string(index)});
+  const auto released_now = [&](TimeUs now) {
     std::size_t count = 0;
     while (const auto ask = holder.next(now)) {
       EXPECT_LE(ask->free.size(), 256U);
@@ -285,17 +285,17 @@
     }
     return count;
   };
-  EXPECT_EQ(said(0), kMany);
-  EXPECT_EQ(said(1), 0U);
+  EXPECT_EQ(released_now(0), kMany);
+  EXPECT_EQ(released_now(1), 0U);
   EXPECT_LE(holder.next_due(), terms().term / kGrantTimeoutDivisor);
-  EXPECT_EQ(said(terms().term / kGrantTimeoutDivisor), kMany);
+  EXPECT_EQ(released_now(terms().term / kGrantTimeoutDivisor), kMany);
 }
 
 TEST(Keys, PastTheBoundNothingIsGivenAndWhatRestsStays) {
   KeyTable table;
   table.apply({{}, true, {}});
-  for (std::uint64_t n = 0; n < kKeysMost; ++n)
-    table.apply({{}, false, {ask_of(n + 1, {{n, "k" + std::to_string(n), 5}})}});
+  for (std::uint64_t index = 0; index < kKeysMost; ++index)
+    table.apply({{}, false, {ask_of(index + 1, {{index, "k" + std::to_string(index), 5}})}});
   EXPECT_EQ(table.apply({{}, false, {ask_of(90'000, {{90'000, "one more", 5}})}})[0].wants[0], Told::kNotNow);
   EXPECT_EQ(table.apply({{}, false, {ask_of(90'001, {{1, "k1", 5}})}})[0].wants[0], Told::kGiven);
   table.apply({{}, false, {ask_of(90'002, {}, {{2, "k2"}})}});
