--- a/src/budget/ledger.h
+++ b/src/budget/ledger.h
@@ -36,8 +36,8 @@
 // `a` is the index of an allowance in `terms().allowances`.
 class Ledger {
  public:
-  // Applies an entry and returns the answers: refusals first, then leases, each in the order of the requests. A
-  // stale request gets none, nor does one whose sender left or was superseded within the same entry.
+  // Applies an entry and returns the answers: refusals first, then leases, each in the order of the requests.
+  // A stale request gets none, nor does one whose sender left or was superseded within the same entry.
   std::vector<Grant> apply(const Entry& entry);
 
   const Terms& terms() const { return terms_; }
--- a/src/recovery/one_copy.cpp
+++ b/src/recovery/one_copy.cpp
@@ -61,7 +61,7 @@
       "this copy ends at entry " + std::to_string(out.index) + " of term " + std::to_string(out.index_term) +
           "; what the lost keepers agreed on behind it is not known and can't be recovered",
       "leases: " + std::to_string(state.ledger.members().size()) +
-          " are known; no lease is granted for a full term, after which any of them has expired",
+          " are known; all have expired after a full term, and none is granted for any member before that",
       "keys: " + std::to_string(state.keys.rests().size()) +
           " are known to be held; none is given before the longest hold is over, as others may be held",
       "lost for good: nothing else is kept in the log",
--- a/tests/recovery/disk_claim_test.cpp
+++ b/tests/recovery/disk_claim_test.cpp
@@ -1,5 +1,5 @@
-// Keepers, their disks and their greetings by hand: whatever is lost, late or doubled, nobody votes on an
-// empty disk who has voted before, and a new fleet begins.
+// Keepers with simulated disks and greetings: whatever is lost, late or duplicated, no keeper that has voted
+// before votes again on an empty disk, and a new fleet can begin.
 #include "recovery/disk_claim.h"
 
 #include <gtest/gtest.h>
@@ -18,77 +18,79 @@
 
 class Keepers {
  public:
-  explicit Keepers(KeeperId n) {
-    for (KeeperId id = 1; id <= n; ++id) voters_.push_back(id);
-    nodes_.resize(n);
-    for (KeeperId id = 1; id <= n; ++id) start(id);
+  explicit Keepers(KeeperId count) {
+    for (KeeperId id = 1; id <= count; ++id) voters_.push_back(id);
+    nodes_.resize(count);
+    for (KeeperId id = 1; id <= count; ++id) start(id);
   }
 
   void start(KeeperId id) {
     std::erase_if(greetings_, [id](const Greeting& one) { return one.to == id; });
-    at(id).claim.emplace(store::StoredOwner{"f", 1, id, {}}, voters_, at(id).disk);
-    at(id).keeps = false;
-    begin(id);
+    node(id).claim.emplace(store::StoredOwner{"f", 1, id, {}}, voters_, node(id).disk);
+    node(id).takes_part = false;
+    begin_if_allowed(id);
   }
   void lose_disk(KeeperId id) {
-    at(id).disk = {};
-    for (Node& node : nodes_) node.remembered.erase(id);  // what it knew of others went with it
-    at(id).claim.reset();
-    at(id).keeps = false;
+    node(id).disk = {};
+    for (Node& other : nodes_) other.remembered_by.erase(id);  // what it knew of others is lost, too
+    node(id).claim.reset();
+    node(id).takes_part = false;
   }
-  bool up(KeeperId id) { return at(id).claim.has_value(); }
-  bool keeps(KeeperId id) { return at(id).keeps; }
-  // Who begins on an empty disk while somebody remembers a word of its log.
+  bool is_running(KeeperId id) { return node(id).claim.has_value(); }
+  bool takes_part(KeeperId id) { return node(id).takes_part; }
+  // Set if a keeper begins on an empty disk while another one remembers a log message of it.
   std::string fault;
 
   void greet(KeeperId from, KeeperId to) {
-    if (!up(from)) return;
+    if (!is_running(from)) return;
     std::vector<KeeperId> begun;
-    if (at(from).keeps) begun.assign(claim(from).owner().begun.begin(), claim(from).owner().begun.end());
+    if (node(from).takes_part)
+      begun.assign(claim(from).owner().begun.begin(), claim(from).owner().begun.end());
     greetings_.push_back({from, to, begun});
   }
-  void hear(std::size_t n, bool keep) {
+  void deliver(std::size_t index, bool keep_copy) {
     if (greetings_.empty()) return;
-    const auto it = greetings_.begin() + static_cast<long>(n % greetings_.size());
+    const auto it = greetings_.begin() + static_cast<long>(index % greetings_.size());
     const Greeting greeting = *it;
-    if (!keep) greetings_.erase(it);
-    if (!up(greeting.to)) return;
+    if (!keep_copy) greetings_.erase(it);
+    if (!is_running(greeting.to)) return;
     claim(greeting.to).told(greeting.from, greeting.begun);
-    begin(greeting.to);
+    begin_if_allowed(greeting.to);
   }
-  // A vote, or an acknowledged entry: counted where the other one has a log, and stores that it heard it.
-  void word(KeeperId from, KeeperId to) {
-    if (!up(from) || !up(to) || !keeps(from)) return;
+  // A vote or an acknowledged entry: counts only if the receiver has a log and stores that it has received
+  // it.
+  void send_log_message(KeeperId from, KeeperId to) {
+    if (!is_running(from) || !is_running(to) || !takes_part(from)) return;
     claim(to).met(from);
-    if (!keeps(to)) return;
-    at(to).disk.owner = claim(to).owner();
-    at(from).remembered.insert(to);
+    if (!takes_part(to)) return;
+    node(to).disk.owner = claim(to).owner();
+    node(from).remembered_by.insert(to);
   }
-  // In-flight greetings of a process end with it.
-  void hang_up() { greetings_.clear(); }
+  // Drops the greetings in flight.
+  void drop_greetings() { greetings_.clear(); }
 
  private:
   struct Node {
     store::Stored disk;
     std::optional<DiskClaim> claim;
-    bool keeps = false;
-    std::set<KeeperId> remembered;  // by whom
+    bool takes_part = false;
+    std::set<KeeperId> remembered_by;
   };
   struct Greeting {
     KeeperId from, to;
     std::vector<KeeperId> begun;
   };
-  Node& at(KeeperId id) { return nodes_[id - 1]; }
-  DiskClaim& claim(KeeperId id) { return *at(id).claim; }
+  Node& node(KeeperId id) { return nodes_[id - 1]; }
+  DiskClaim& claim(KeeperId id) { return *node(id).claim; }
 
-  void begin(KeeperId id) {
-    if (at(id).keeps || claim(id).verdict() != Verdict::kMay) return;
-    if (at(id).disk.empty() && !at(id).remembered.empty())
+  void begin_if_allowed(KeeperId id) {
+    if (node(id).takes_part || claim(id).verdict() != Verdict::kMay) return;
+    if (node(id).disk.empty() && !node(id).remembered_by.empty())
       fault = "keeper " + std::to_string(id) + " votes anew";
-    at(id).keeps = true;
+    node(id).takes_part = true;
     claim(id).begin();
-    at(id).disk.owner = claim(id).owner();
-    at(id).disk.term = 1;
+    node(id).disk.owner = claim(id).owner();
+    node(id).disk.term = 1;
   }
 
   std::vector<KeeperId> voters_;
@@ -100,11 +102,11 @@
   int lost = 0;
   for (unsigned seed = 1; seed <= 3'000; ++seed) {
     std::mt19937 random(seed);
-    const KeeperId n = seed % 2 == 0 ? 3 : 5;
-    Keepers keepers(n);
+    const KeeperId count = seed % 2 == 0 ? 3 : 5;
+    Keepers keepers(count);
     for (int step = 0; step < 300; ++step) {
-      const auto a = static_cast<KeeperId>(1 + random() % n);
-      const auto b = static_cast<KeeperId>(1 + random() % n);
+      const auto a = static_cast<KeeperId>(1 + random() % count);
+      const auto b = static_cast<KeeperId>(1 + random() % count);
       switch (random() % 8) {
         case 0:
           if (random() % 8 == 0) keepers.lose_disk(a), ++lost;
@@ -113,14 +115,14 @@
           keepers.start(a);
           break;
         case 2:
-          keepers.hear(random(), true);
+          keepers.deliver(random(), true);
           break;
         case 3:
         case 4:
-          keepers.hear(random(), false);
+          keepers.deliver(random(), false);
           break;
         case 5:
-          if (a != b) keepers.word(a, b);
+          if (a != b) keepers.send_log_message(a, b);
           break;
         default:
           if (a != b) keepers.greet(a, b);
@@ -131,38 +133,39 @@
   EXPECT_GT(lost, 3'000);
 }
 
-void greet_all(Keepers& keepers, KeeperId n) {
-  for (KeeperId a = 1; a <= n; ++a)
-    for (KeeperId b = 1; b <= n; ++b)
-      if (a != b) keepers.greet(a, b), keepers.hear(0, false);
+void greet_all(Keepers& keepers, KeeperId count) {
+  for (KeeperId a = 1; a <= count; ++a)
+    for (KeeperId b = 1; b <= count; ++b)
+      if (a != b) keepers.greet(a, b), keepers.deliver(0, false);
 }
 
 TEST(DiskClaim, ANewFleetBeginsInWhateverOrderItComes) {
   for (unsigned seed = 1; seed <= 200; ++seed) {
     std::mt19937 random(seed);
     Keepers keepers(3);
-    for (int step = 0; step < 30; ++step) {  // some have begun, and spoken, before others have heard of all
+    // Some begin and send log messages before others have all greetings.
+    for (int step = 0; step < 30; ++step) {
       const auto a = static_cast<KeeperId>(1 + random() % 3);
       const auto b = static_cast<KeeperId>(1 + random() % 3);
-      if (a != b) random() % 2 == 0 ? keepers.greet(a, b) : keepers.word(a, b);
-      keepers.hear(random(), random() % 2 == 0);
+      if (a != b) random() % 2 == 0 ? keepers.greet(a, b) : keepers.send_log_message(a, b);
+      keepers.deliver(random(), random() % 2 == 0);
     }
     greet_all(keepers, 3);
-    keepers.hang_up();
+    keepers.drop_greetings();
     greet_all(keepers, 3);
-    for (KeeperId id = 1; id <= 3; ++id) EXPECT_TRUE(keepers.keeps(id)) << "seed " << seed;
+    for (KeeperId id = 1; id <= 3; ++id) EXPECT_TRUE(keepers.takes_part(id)) << "seed " << seed;
   }
 }
 
 TEST(DiskClaim, OneOnAnEmptyDiskThatIsKnownStaysOutAndTheOthersKeep) {
   Keepers keepers(3);
   greet_all(keepers, 3);
-  keepers.word(1, 2);
+  keepers.send_log_message(1, 2);
   keepers.lose_disk(1);
   keepers.start(1);
   greet_all(keepers, 3);
-  EXPECT_FALSE(keepers.keeps(1));
-  EXPECT_TRUE(keepers.keeps(2) && keepers.keeps(3));
+  EXPECT_FALSE(keepers.takes_part(1));
+  EXPECT_TRUE(keepers.takes_part(2) && keepers.takes_part(3));
 }
 
 TEST(DiskClaim, AnothersStoreIsNamed) {
@@ -188,7 +191,7 @@
   facts.level = budget::kFullLevel / 10;
   EXPECT_EQ(now(), "ramp");
   facts.level = budget::kFullLevel;
-  EXPECT_EQ(now(), "full");  // parts that move by demand are no stage of a return
+  EXPECT_EQ(now(), "full");  // parts that move with demand are no stage
   facts.leased = false;
   EXPECT_EQ(now(), "terms");
   facts.leased = true;
--- a/tests/recovery/one_copy_test.cpp
+++ b/tests/recovery/one_copy_test.cpp
@@ -1,4 +1,5 @@
-// Going on from one copy: every way to have two logs that both grant is refused; what is kept, and what not.
+// Recovery from one copy: every input that could lead to two logs that both grant is refused; what is kept
+// and what is not.
 #include "recovery/one_copy.h"
 
 #include <gtest/gtest.h>
@@ -6,7 +7,7 @@
 namespace orchidgw::recovery {
 namespace {
 
-struct Given {
+struct Input {
   store::Stored found;
   fleet::State state;
   std::vector<fleet::KeeperId> voters = {1, 2, 3};
@@ -16,8 +17,8 @@
   OneCopy run() const { return go_on_from_one_copy(found, voters, state, config, self, lost); }
 };
 
-Given good() {
-  Given out;
+Input valid_input() {
+  Input out;
   out.found.owner = store::StoredOwner{"f", 7, 1, {1, 2}};
   out.found.term = 9;
   out.found.first = 41;
@@ -30,34 +31,37 @@
 }
 
 TEST(OneCopy, KeepsTheKeysAndTakesNoneOfTheLostForKnown) {
-  const OneCopy copy = good().run();
+  const OneCopy copy = valid_input().run();
   ASSERT_EQ(copy.fault, "");
   EXPECT_EQ(copy.owner, (store::StoredOwner{"f", 8, 1, {1}}));
   EXPECT_EQ(copy.index, 42U);
   EXPECT_EQ(copy.index_term, 9U);
   EXPECT_EQ(copy.term, 10U);
-  EXPECT_EQ(copy.state.ledger.terms().revision, 0U);  // leases are waited out as after a lost log
+  EXPECT_EQ(copy.state.ledger.terms().revision, 0U);  // as after a lost log, earlier leases must expire first
   EXPECT_TRUE(copy.state.keys.rests().contains("key k"));
   EXPECT_FALSE(copy.state.keys.settled());
   EXPECT_GE(copy.says.size(), 4U);
 }
 
 TEST(OneCopy, EachWayToHaveTwoLogsIsRefused) {
-  const auto fault = [](auto change) {
-    Given given = good();
-    change(given);
-    return given.run().fault;
+  const auto fault = [](auto modify) {
+    Input input = valid_input();
+    modify(input);
+    return input.run().fault;
   };
-  EXPECT_NE(fault([](Given& g) { g.lost = {2}; }).find("--lost has to name all others"), std::string::npos);
-  EXPECT_NE(fault([](Given& g) { g.lost = {2, 3, 4}; }), "");
-  EXPECT_NE(fault([](Given& g) { g.config.number = 7; }).find("has to be raised above 7"), std::string::npos);
-  EXPECT_NE(fault([](Given& g) { g.config.name = "other"; }).find("of fleet f"), std::string::npos);
-  EXPECT_NE(fault([](Given& g) { g.config.keepers[0].id = 2; }).find("keeper 1's"), std::string::npos);
-  EXPECT_NE(fault([](Given& g) { g.self = "c9"; }).find("does not name c9"), std::string::npos);
-  EXPECT_NE(fault([](Given& g) { g.config.keepers.push_back({4, "c4", {"127.0.0.1", 1}}); }), "");
-  EXPECT_NE(fault([](Given& g) { g.found.owner.reset(); }), "");
-  EXPECT_NE(fault([](Given& g) { g.voters.clear(); }), "");
-  EXPECT_EQ(fault([](Given& g) { g.found = {}; }), "there is no log in it");
+  EXPECT_NE(fault([](Input& input) { input.lost = {2}; }).find("--lost has to name all others"),
+            std::string::npos);
+  EXPECT_NE(fault([](Input& input) { input.lost = {2, 3, 4}; }), "");
+  EXPECT_NE(fault([](Input& input) { input.config.number = 7; }).find("has to be raised above 7"),
+            std::string::npos);
+  EXPECT_NE(fault([](Input& input) { input.config.name = "other"; }).find("of fleet f"), std::string::npos);
+  EXPECT_NE(fault([](Input& input) { input.config.keepers[0].id = 2; }).find("keeper 1's"),
+            std::string::npos);
+  EXPECT_NE(fault([](Input& input) { input.self = "c9"; }).find("does not name c9"), std::string::npos);
+  EXPECT_NE(fault([](Input& input) { input.config.keepers.push_back({4, "c4", {"127.0.0.1", 1}}); }), "");
+  EXPECT_NE(fault([](Input& input) { input.found.owner.reset(); }), "");
+  EXPECT_NE(fault([](Input& input) { input.voters.clear(); }), "");
+  EXPECT_EQ(fault([](Input& input) { input.found = {}; }), "there is no log in it");
 }
 
 }  // namespace
--- a/tests/recovery/power_loss_test.cpp
+++ b/tests/recovery/power_loss_test.cpp
@@ -1,5 +1,6 @@
-// The whole fleet without power, on a network, disks and a clock moved by hand: what a keeper had committed
-// is there, all else is gone; then all come back in some order, some late, some while power goes again.
+// Power loss of the whole fleet, on a simulated network, disks and clock: what a keeper had committed to its
+// disk is kept, everything else is lost. Then all return in some order, some late, some while power is lost
+// again.
 #include <gtest/gtest.h>
 
 #include "fleet_simulation.h"
@@ -10,19 +11,19 @@
 constexpr TimeUs kSecond = 1'000'000;
 constexpr TimeUs kRamp = 5 * kSecond;
 
-// Everyone is started within `spread`, in an order of its own.
+// Starts all keepers and members within `spread`, in random order.
 void power_on(FleetSimulation& fleet, std::mt19937_64& random, TimeUs spread) {
   std::vector<std::pair<TimeUs, std::size_t>> starts;
-  for (std::size_t i = 0; i < fleet.keepers() + fleet.members(); ++i)
-    starts.emplace_back(static_cast<TimeUs>(random() % static_cast<std::uint64_t>(spread)), i);
+  for (std::size_t node = 0; node < fleet.keepers() + fleet.members(); ++node)
+    starts.emplace_back(static_cast<TimeUs>(random() % static_cast<std::uint64_t>(spread)), node);
   std::sort(starts.begin(), starts.end());
   const TimeUs from = fleet.now();
-  for (const auto& [at, place] : starts) {
+  for (const auto& [at, node] : starts) {
     if (from + at > fleet.now()) fleet.run(from + at - fleet.now());
-    if (place < fleet.keepers()) {
-      fleet.start_keeper(place);
+    if (node < fleet.keepers()) {
+      fleet.start_keeper(node);
     } else {
-      fleet.start_member(place - fleet.keepers());
+      fleet.start_member(node - fleet.keepers());
     }
   }
 }
@@ -41,21 +42,22 @@
     fleet.run(static_cast<TimeUs>(random() % 20) * kSecond);
     for (std::size_t losses = 1 + random() % 3; losses > 0; --losses) {
       fleet.power_off();
-      // Off for less than a term too: old leases would still run, had their holders not died.
+      // Sometimes off for less than a term: earlier leases would still be running if their holders had
+      // survived.
       fleet.run(static_cast<TimeUs>(random() % 5'000) * 1'000);
       power_on(fleet, random, losses > 1 ? 3 * kSecond : 10 * kSecond);
     }
-    // All old terms, the drift, the ramp, an election and two renewals.
-    const TimeUs until = fleet.now() + 4 * kSecond + kRamp + 6 * kSecond;
-    while (fleet.now() < until && fleet.overdrawn().empty() && !fleet.all_in_use()) {
+    // Time for the terms of earlier leases, the drift, the ramp, an election and two renewals.
+    const TimeUs deadline = fleet.now() + 4 * kSecond + kRamp + 6 * kSecond;
+    while (fleet.now() < deadline && fleet.overdrawn().empty() && !fleet.all_in_use()) {
       fleet.run(50'000);
       const int leader = fleet.leads();
       if (leader < 0) continue;
       const budget::Ledger& ledger = fleet.ledger(static_cast<std::size_t>(leader));
       if (ledger.level() == budget::kFullLevel) continue;
       ++ramped;
-      for (std::size_t a = 0; a < ledger.terms().allowances.size(); ++a)
-        ASSERT_GE(ledger.free(a), 0) << "seed " << seed << " above the ramp";
+      for (std::size_t allowance = 0; allowance < ledger.terms().allowances.size(); ++allowance)
+        ASSERT_GE(ledger.free(allowance), 0) << "seed " << seed << " above the ramp";
     }
     ASSERT_EQ(fleet.overdrawn(), "") << "seed " << seed;
     EXPECT_TRUE(fleet.all_in_use()) << "seed " << seed;
@@ -65,8 +67,8 @@
 
 INSTANTIATE_TEST_SUITE_P(Seeds, PowerLoss, ::testing::Range(0, 10));
 
-// Half is back at once, a majority of the keepers among it, the rest over ten minutes: those that are back
-// have all there is to lease meanwhile, and who comes late has a part of it.
+// Half of the fleet, including a majority of the keepers, returns at once, the rest over ten minutes.
+// Meanwhile the returned members hold all that can be leased, and each late one gets its part.
 class PowerLossOfHalf : public ::testing::TestWithParam<int> {};
 
 TEST_P(PowerLossOfHalf, TheRestComesBackOverTenMinutes) {
@@ -78,34 +80,36 @@
   fleet.run(15 * kSecond);
   fleet.power_off();
   const std::size_t late_keeper = random() % 3;
-  for (std::size_t k = 0; k < 3; ++k)
-    if (k != late_keeper) fleet.start_keeper(k);
-  for (std::size_t m = 0; m < 5; ++m) fleet.start_member(m);
+  for (std::size_t keeper = 0; keeper < 3; ++keeper)
+    if (keeper != late_keeper) fleet.start_keeper(keeper);
+  for (std::size_t member = 0; member < 5; ++member) fleet.start_member(member);
   fleet.run(4 * kSecond + kRamp + 6 * kSecond);
   EXPECT_TRUE(fleet.all_in_use()) << "seed " << seed;
-  for (std::size_t m = 5; m < 10; ++m) {
+  for (std::size_t member = 5; member < 10; ++member) {
     fleet.run(static_cast<TimeUs>(60 + random() % 60) * kSecond);
-    EXPECT_TRUE(fleet.all_in_use()) << "seed " << seed << " before " << m;
-    fleet.start_member(m);
-    if (m == 7) fleet.start_keeper(late_keeper);
+    EXPECT_TRUE(fleet.all_in_use()) << "seed " << seed << " before " << member;
+    fleet.start_member(member);
+    if (member == 7) fleet.start_keeper(late_keeper);
   }
   fleet.run(10 * kSecond);
   ASSERT_EQ(fleet.overdrawn(), "") << "seed " << seed;
   EXPECT_TRUE(fleet.all_in_use()) << "seed " << seed;
-  for (std::size_t m = 0; m < 10; ++m) EXPECT_TRUE(fleet.holder(m).leased(fleet.now())) << m;
+  for (std::size_t member = 0; member < 10; ++member)
+    EXPECT_TRUE(fleet.holder(member).leased(fleet.now())) << member;
 }
 
 INSTANTIATE_TEST_SUITE_P(Seeds, PowerLossOfHalf, ::testing::Range(1, 11));
 
-// Where the keepers alone were without power, members that live go on: no ramp for engines that are warm.
+// If only the keepers lose power, the running members continue: no ramp, as the engines are not in slow
+// start.
 TEST(PowerLossOfKeepers, MembersThatLiveMeetNoRamp) {
   FleetSimulation::Shape shape = fleet_shape(3, 8);
   shape.terms.ramp = kRamp;
   FleetSimulation fleet(shape, 3);
   fleet.run(15 * kSecond);
   ASSERT_TRUE(fleet.all_in_use());
-  for (std::size_t k = 0; k < 3; ++k) fleet.kill_keeper(k);
-  for (std::size_t k = 0; k < 3; ++k) fleet.start_keeper(k);
+  for (std::size_t keeper = 0; keeper < 3; ++keeper) fleet.kill_keeper(keeper);
+  for (std::size_t keeper = 0; keeper < 3; ++keeper) fleet.start_keeper(keeper);
   for (int n = 0; n < 60; ++n) {
     fleet.run(100'000);
     if (fleet.leads() < 0) continue;
--- a/tests/recovery/vote_floor_test.cpp
+++ b/tests/recovery/vote_floor_test.cpp
@@ -21,7 +21,7 @@
   VoteFloor floor(1, {1, 2, 3}, 0, kPatience);
   EXPECT_EQ(floor.waits_for(0), (std::vector<fleet::KeeperId>{2, 3}));
   floor.told(2, {});
-  floor.told(1, {});  // itself, and a stranger
+  floor.told(1, {});  // itself, and a keeper that is no voter
   floor.told(9, {});
   EXPECT_EQ(floor.waits_for(0), (std::vector<fleet::KeeperId>{3}));
   EXPECT_FALSE(floor.lets(request(5, {4, 9}), kPatience - 1));
@@ -45,7 +45,7 @@
   EXPECT_TRUE(floor.lets(request(5, {4, 20}), kLater - 1));
   EXPECT_TRUE(floor.lets(request(5, {3, 12}), kLater));
   EXPECT_FALSE(floor.lets(request(5, {3, 11}), kLater));
-  EXPECT_FALSE(floor.lets(request(5, {2, 99}), kLater));  // longer, and of an older term: not ahead
+  EXPECT_FALSE(floor.lets(request(5, {2, 99}), kLater));  // longer, but of an older term: behind
   EXPECT_FALSE(floor.lets(request(5, {3, 11}, true), kLater));
 }
 
@@ -56,7 +56,7 @@
   EXPECT_FALSE(floor.lets(request(7, {1, 1}), 0));
   EXPECT_TRUE(floor.lets(request(7, {1, 1}, true), 0));
   EXPECT_TRUE(floor.lets(request(8, {1, 1}), 0));
-  floor.told(2, {9, {}, {}});  // a later connection's: this keeper has run all the time
+  floor.told(2, {9, {}, {}});  // a later greeting: this keeper has been running since
   EXPECT_TRUE(floor.lets(request(8, {1, 1}), 0));
 }
 
