--- a/src/promises/keys.h
+++ b/src/promises/keys.h
@@ -1,5 +1,5 @@
-// Data types of key holds, by which a fleet keeps a query that must not run twice from doing so: while a key
-// is held, only its holder may send the query. Plain values; no I/O, no clock.
+// Data types of key holds, which keep two controllers of a fleet from sending the same query if it must not
+// run twice: while a key is held, only its holder may send the query. Plain values; no I/O, no clock.
 #pragma once
 
 #include <cstddef>
@@ -46,7 +46,7 @@
 enum class Told : std::uint32_t {
   kGiven = 1,  // granted, durable on a majority of the keepers
   kRests,      // held by another query, which may have run
-  kNotNow      // the table is full, or holds from before this log are not known to have expired
+  kNotNow      // table full, identity too long, or holds from before this log may not have expired
 };
 
 struct KeyTold {
--- a/src/recovery/key_book.h
+++ b/src/recovery/key_book.h
@@ -20,8 +20,8 @@
 
 class KeyBook {
  public:
-  // `boot`: identifies this boot of the machine. `found`: the stored intents. `max_intents`: bound above
-  // which `full` is true.
+  // `boot`: identifies this boot of the machine. `found`: the stored intents. `max_intents`: from this
+  // number on `full` is true.
   KeyBook(std::string boot, TimeUs now, const std::vector<store::Intent>& found, std::size_t max_intents);
 
   // An earlier process may have run the query, and its window has not passed.
