--- a/bench/fleet_sizes.cpp
+++ b/bench/fleet_sizes.cpp
@@ -24,7 +24,7 @@
   const TimeUs from = fleet.now();
   do {
     fleet.run(20'000, 10'000);
-  } while (fleet.overdrawn().empty() && !fleet.all_in_use() && fleet.now() < from + kTimeout);
+  } while (fleet.violation().empty() && !fleet.fully_leased() && fleet.now() < from + kTimeout);
   return static_cast<double>(fleet.now() - from) / 1e6;
 }
 
@@ -41,13 +41,13 @@
   Samples part, join, kill, pause, cut, power, messages, bytes, cpu;
   for (int seed = 1; seed <= seeds; ++seed) {
     FleetSimulation::Shape shape = fleet_shape(3, members);
-    shape.terms.longest_rest = 0;  // no key holds, so the cost is that of the leases alone
+    shape.terms.longest_key_hold = 0;  // no key holds, so the cost is that of the leases alone
     FleetSimulation fleet(shape, static_cast<std::uint64_t>(seed));
     fleet.kill_member(0);
     run_until_fully_leased(fleet);
     fleet.start_member(0);
     const TimeUs joined = fleet.now();
-    while (fleet.overdrawn().empty() && !fleet.holder(0).leased(fleet.now()) &&
+    while (fleet.violation().empty() && !fleet.holder(0).leased(fleet.now()) &&
            fleet.now() < joined + kTimeout)
       fleet.run(10'000, 10'000);
     part.values.push_back(static_cast<double>(fleet.now() - joined) / 1e6);
@@ -78,7 +78,7 @@
     messages.values.push_back(static_cast<double>(fleet.messages() - messages_before) / 10 / members);
     bytes.values.push_back(static_cast<double>(fleet.bytes() - bytes_before) / 10 / members);
     cpu.values.push_back((cpu_seconds() - cpu_before) / 10 / members * 1e6);
-    if (!fleet.overdrawn().empty()) std::cout << "OVERDRAWN: " << fleet.overdrawn() << '\n';
+    if (!fleet.violation().empty()) std::cout << "OVERDRAWN: " << fleet.violation() << '\n';
   }
   std::cout << "\n"
             << members << " controllers, 3 of them keepers, term 3 s, " << seeds
@@ -128,7 +128,7 @@
     keyed.values.push_back(first_key > 0 ? first_key : since());
     run_until_fully_leased(fleet);
     divided.values.push_back(since());
-    if (!fleet.overdrawn().empty()) std::cout << "BROKEN: " << fleet.overdrawn() << '\n';
+    if (!fleet.violation().empty()) std::cout << "BROKEN: " << fleet.violation() << '\n';
   }
   std::cout << "\n"
             << members << " controllers after a power loss, ramp 6 s, term 3 s, " << seeds
@@ -142,7 +142,7 @@
 // What each event costs in a fleet: reading the clock and comparing it with the end of the lease.
 void measure_lease_check() {
   constexpr int kTimes = 5'000'000;
-  orchidgw::budget::Holder holder({"c0", 1}, fleet_shape(1, 5).terms);
+  orchidgw::budget::LeaseHolder holder({"c0", 1}, fleet_shape(1, 5).terms);
   const double before = cpu_seconds();
   int leased = 0;
   for (int i = 0; i < kTimes; ++i) {
--- a/bench/limits_bench.cpp
+++ b/bench/limits_bench.cpp
@@ -34,7 +34,7 @@
   for (const char* name : {"lookup", "report", "order-load"}) {
     ClassSettings c;
     c.name = name;
-    c.aim = 1'000'000;
+    c.latency_target = 1'000'000;
     c.deadline = 20'000'000;
     c.effect = Effect::kIdempotent;
     s.classes.push_back(c);
@@ -92,7 +92,7 @@
 void admit_and_end(benchmark::State& state) {
   const Settings settings = test_settings();
   limits::Limiter limiter(settings, 1);
-  if (state.range(0) > 0) limiter.put_in_force(1, make_limit_set(static_cast<int>(state.range(0))));
+  if (state.range(0) > 0) limiter.activate(1, make_limit_set(static_cast<int>(state.range(0))));
   TimeUs now = 1'000'000;
   QueryId id = 0;
   for (auto _ : state) {
@@ -101,7 +101,7 @@
         limiter.admit(now, {++id, static_cast<int>(id % 3), "t4", "s_15.o", false, 5'000'000}));
     limiter.attempt_sent(now, id);
     limiter.attempt_ended(now, id, OutcomeKind::kOk, 5'000, 5'000);
-    limiter.over(now, id);
+    limiter.query_ended(now, id);
   }
 }
 BENCHMARK(admit_and_end)->Arg(0)->Arg(1'000);
--- a/bench/service_days.cpp
+++ b/bench/service_days.cpp
@@ -38,8 +38,8 @@
   double work_ms;  // CPU time on one core
   int threads;
   double value;
-  double late_worth;
-  TimeUs aim;
+  double late_value_share;
+  TimeUs latency_target;
   double runtime_factor;
   TimeUs deadline;
   Effect effect;
@@ -100,13 +100,13 @@
   for (const QueryKind& k : kQueryKinds) {
     ClassSettings c;
     c.name = k.name;
-    c.aim = k.aim;
-    c.aim_stretch = k.runtime_factor;
+    c.latency_target = k.latency_target;
+    c.latency_target_runtime_factor = k.runtime_factor;
     c.deadline = k.deadline;
     c.effect = k.effect;
     c.repeat_window = 12 * kSecond;
     c.value = k.value;
-    c.late_worth = k.late_worth;
+    c.late_value_share = k.late_value_share;
     c.threads = k.threads;
     s.classes.push_back(c);
   }
@@ -115,11 +115,11 @@
   s.limits.cancel = true;
   s.limits.retry_after = true;
   s.limits.max_retry_after = kSecond;
-  s.rules.attempts_rationed = true;
-  s.rules.extra_free = 2;
-  s.rules.extra_share = 0.2;
-  s.rules.extra_window = 10 * kSecond;
-  s.tells_cost = true;
+  s.rules.has_retry_budget = true;
+  s.rules.retry_budget_floor = 2;
+  s.rules.retry_budget_share = 0.2;
+  s.rules.retry_budget_window = 10 * kSecond;
+  s.engines_report_cost = true;
   return s;
 }
 
@@ -165,7 +165,7 @@
     result_.refused = counters_.refused;
     result_.failed = counters_.failed;
     result_.shed = counters_.refusals[static_cast<std::size_t>(Reason::kShed)];
-    result_.changes = reducer_.levels().changes_made();
+    result_.changes = reducer_.levels().change_count();
     return result_;
   }
 
@@ -239,9 +239,9 @@
     for (auto& [id, q] : running_) {
       if (q.call == 0 || (!q.done && now_ < q.call_until)) continue;
       CallAnswer answer;
-      answer.kind = q.done ? CallAnswer::Kind::kServed : CallAnswer::Kind::kNotYet;
+      answer.kind = q.done ? CallAnswer::Kind::kServed : CallAnswer::Kind::kPending;
       answer.pages = 1;
-      if (q.done) answer.told_cost = static_cast<TimeUs>(q.cost);
+      if (q.done) answer.reported_cost = static_cast<TimeUs>(q.cost);
       out.emplace_back(id, std::move(answer));
     }
     for (auto& [id, answer] : out) {
@@ -254,7 +254,7 @@
 
   void apply(Event event) {
     for (SideEffect& effect : reducer_.apply(now_, std::move(event))) {
-      if (auto* call = std::get_if<StartCall>(&effect)) {
+      if (auto* call = std::get_if<SendCall>(&effect)) {
         on_call(*call);
       } else if (auto* drop = std::get_if<DropCall>(&effect)) {
         pending_events_.push_back(CallEnded{drop->call, ConnectionEnd::kDropped});
@@ -271,7 +271,7 @@
     }
   }
 
-  void on_call(const StartCall& call) {
+  void on_call(const SendCall& call) {
     if (call.kind == CallKind::kStart) {
       const SentRequest& sent =
           sent_.at(static_cast<RequestTag>(std::stoll(call.reference) - 1'000'000'000'000'000));
@@ -286,7 +286,7 @@
     }
     CallAnswer answer;
     answer.kind = CallAnswer::Kind::kDone;
-    if (call.kind == CallKind::kNews) {
+    if (call.kind == CallKind::kPoll) {
       const auto it = running_.find(call.reference);
       if (it != running_.end()) {
         it->second.call = call.call;
@@ -295,16 +295,17 @@
       }
       answer.kind = CallAnswer::Kind::kError;
     }
-    if (call.kind == CallKind::kGiveUp) running_.erase(call.reference);
+    if (call.kind == CallKind::kCancel) running_.erase(call.reference);
     pending_events_.push_back(CallAnswered{call.call, std::move(answer)});
   }
 
   void on_served(RequestTag tag) {
     const SentRequest& sent = sent_.at(tag);
     const QueryKind& kind = kQueryKinds[sent.kind];
-    const double aim = static_cast<double>(kind.aim) + kind.runtime_factor * sent.work / kind.threads;
-    const bool in_time = static_cast<double>(now_ - sent.at) <= aim;
-    result_.value += in_time ? kind.value : kind.value * kind.late_worth;
+    const double latency_target =
+        static_cast<double>(kind.latency_target) + kind.runtime_factor * sent.work / kind.threads;
+    const bool in_time = static_cast<double>(now_ - sent.at) <= latency_target;
+    result_.value += in_time ? kind.value : kind.value * kind.late_value_share;
     if (sent.kind == 2 && in_time) result_.loads_in_target += 1;
   }
 
--- a/bench/store_sizes.cpp
+++ b/bench/store_sizes.cpp
@@ -25,13 +25,13 @@
 std::string make_entry(std::uint64_t n) {
   fleet::Entry out;
   const std::string identity = "key " + std::to_string(1'000'000'000'000'000 + n);
-  promises::KeyAsk& ask = out.keys.asks.emplace_back();
+  promises::KeyRequest& ask = out.keys.asks.emplace_back();
   ask.from.name = "c4";
   ask.seq = n;
   ask.wants.push_back({n, identity, 12'000'000});
   if (n == 1) out.keys.settled = true;
-  if (n > 10'000) out.keys.over = {n - 10'000};
-  return thrift::write_entry(out);
+  if (n > 10'000) out.keys.ended_holds = {n - 10'000};
+  return thrift::encode_entry(out);
 }
 
 }  // namespace
@@ -70,15 +70,15 @@
     }
     const auto from = Clock::now();
     store::LmdbStore store(folder, kStoreBytes);
-    const store::Stored found = store.load();
+    const store::StoredLog found = store.load();
     const double loaded = seconds_since(from);
     fleet::State state;
     for (const store::StoredEntry& one : found.entries)
-      if (const auto read = thrift::read_entry(one.data)) state.keys.apply(read->keys);
+      if (const auto read = thrift::decode_entry(one.data)) state.keys.apply(read->keys);
     rusage use{};
     getrusage(RUSAGE_SELF, &use);
     std::cout << size << " records: found in " << std::setprecision(3) << loaded << " s, applied after "
-              << seconds_since(from) << " s, " << state.keys.rests().size() << " keys rest, "
+              << seconds_since(from) << " s, " << state.keys.holds().size() << " keys rest, "
               << std::filesystem::file_size(folder + "/data.mdb") / 1'000'000 << " MB on disk, most memory "
               << use.ru_maxrss / 1000 << " MB" << std::endl;
   }
--- a/src/admin/admin_command.cpp
+++ b/src/admin/admin_command.cpp
@@ -22,7 +22,7 @@
 
 }  // namespace
 
-std::optional<AdminCommand> parse_admin(std::string_view line, std::string& why) {
+std::optional<AdminCommand> parse_admin_command(std::string_view line, std::string& why) {
   const auto tokens = split_words(line);
   if (tokens.size() == 1 && tokens[0] == "status") return AdminCommand{};
   if (tokens.size() == 2 && tokens[0] == "fleet" && tokens[1] == "status")
--- a/src/admin/admin_command.h
+++ b/src/admin/admin_command.h
@@ -13,7 +13,7 @@
 
 namespace orchidgw::admin {
 
-inline constexpr std::size_t kLineMost = 512;                         // bytes, with the line end
+inline constexpr std::size_t kMaxLineLength = 512;                    // bytes, with the line end
 inline constexpr TimeUs kMaxLevelOverride = 24LL * 3600 * 1'000'000;  // longest time for which a level is set
 
 struct AdminCommand {
@@ -24,7 +24,7 @@
 };
 
 // `line`: without the line end. Returns nullopt if it is not a valid command; then `why` says what is wrong.
-std::optional<AdminCommand> parse_admin(std::string_view line, std::string& why);
+std::optional<AdminCommand> parse_admin_command(std::string_view line, std::string& why);
 
 std::string format_admin_command(const AdminCommand& command);  // with the line end
 
--- a/src/base/reason.h
+++ b/src/base/reason.h
@@ -9,19 +9,19 @@
 
 enum class Reason {
   kNone,
-  kDecision,     // the decision module: the latency target or time budget can't be met, or a rule ends it
-  kRate,         // the route's rate limit: no token within the time that it may wait
-  kConcurrency,  // the route's concurrency limit: no slot became free within that time
-  kLineFull,     // the route's queue is full
-  kClosed,       // the route's rate or concurrency limit is zero
-  kHeldTooLong,  // it waited for as long as the route allows
-  kAttempts,     // the route's maximum number of attempts is reached
-  kOutcome,      // the route does not retry after such an outcome
-  kRetryShare,   // the retry budget of the route, or that of all routes, is used up
-  kShed,         // shed by a reduced service level
-  kNoIntent,     // it must not run twice, and its intent can't be stored
-  kShutDown,     // the gateway shuts down before it can be answered
-  kBacklog,      // reads from its client are paused, and the bound on its waiting calls is reached
+  kDecision,      // the decision module: the latency target or time budget can't be met, or a rule ends it
+  kRate,          // the route's rate limit: no token within the time that it may wait
+  kConcurrency,   // the route's concurrency limit: no slot became free within that time
+  kQueueFull,     // the route's queue is full
+  kClosed,        // the route's rate or concurrency limit is zero
+  kQueueTimeout,  // it waited for as long as the route allows
+  kMaxAttempts,   // the route's maximum number of attempts is reached
+  kOutcomeNotRetried,  // the route does not retry after such an outcome
+  kRetryBudget,        // the retry budget of the route, or that of all routes, is used up
+  kShed,               // shed by a reduced service level
+  kIntentNotStored,    // it must not run twice, and its intent can't be stored
+  kShutDown,           // the gateway shuts down before it can be answered
+  kBacklog,            // reads from its client are paused, and the bound on its waiting calls is reached
 };
 inline constexpr std::size_t kReasonCount = static_cast<std::size_t>(Reason::kBacklog) + 1;
 
--- a/src/base/system_call.h
+++ b/src/base/system_call.h
@@ -33,11 +33,11 @@
   return kNames[static_cast<std::size_t>(call)];
 }
 
-enum class ErrorMeaning {
-  kTryAtOnce,   // interrupted, or an error of a connection that has already ended
-  kNothingNow,  // the call would block
-  kTryLater,    // lack of a resource that may be freed later
-  kOver,        // permanent: the connection, or the start, has failed
+enum class ErrorClass {
+  kRetryNow,    // interrupted, or an error of a connection that has already ended
+  kWouldBlock,  // the call would block
+  kRetryLater,  // lack of a resource that may be freed later
+  kPermanent,   // permanent: the connection, or the start, has failed
 };
 
 namespace detail {
@@ -45,49 +45,49 @@
 struct ErrorRule {
   SystemCall call;
   int error;
-  ErrorMeaning meaning;
+  ErrorClass meaning;
 };
 
 inline constexpr std::array kErrorRules = {
     // Linux reports pending errors of the new connection here; the next connection may already be waiting.
-    ErrorRule{SystemCall::kAccept, ECONNABORTED, ErrorMeaning::kTryAtOnce},
-    ErrorRule{SystemCall::kAccept, EPROTO, ErrorMeaning::kTryAtOnce},
-    ErrorRule{SystemCall::kAccept, EPERM, ErrorMeaning::kTryAtOnce},
-    ErrorRule{SystemCall::kAccept, ENETDOWN, ErrorMeaning::kTryAtOnce},
-    ErrorRule{SystemCall::kAccept, ENETUNREACH, ErrorMeaning::kTryAtOnce},
-    ErrorRule{SystemCall::kAccept, EHOSTUNREACH, ErrorMeaning::kTryAtOnce},
-    ErrorRule{SystemCall::kAccept, EAGAIN, ErrorMeaning::kNothingNow},
-    ErrorRule{SystemCall::kReceive, EAGAIN, ErrorMeaning::kNothingNow},
-    ErrorRule{SystemCall::kSend, EAGAIN, ErrorMeaning::kNothingNow},
+    ErrorRule{SystemCall::kAccept, ECONNABORTED, ErrorClass::kRetryNow},
+    ErrorRule{SystemCall::kAccept, EPROTO, ErrorClass::kRetryNow},
+    ErrorRule{SystemCall::kAccept, EPERM, ErrorClass::kRetryNow},
+    ErrorRule{SystemCall::kAccept, ENETDOWN, ErrorClass::kRetryNow},
+    ErrorRule{SystemCall::kAccept, ENETUNREACH, ErrorClass::kRetryNow},
+    ErrorRule{SystemCall::kAccept, EHOSTUNREACH, ErrorClass::kRetryNow},
+    ErrorRule{SystemCall::kAccept, EAGAIN, ErrorClass::kWouldBlock},
+    ErrorRule{SystemCall::kReceive, EAGAIN, ErrorClass::kWouldBlock},
+    ErrorRule{SystemCall::kSend, EAGAIN, ErrorClass::kWouldBlock},
     // No local port is free.
-    ErrorRule{SystemCall::kConnect, EADDRNOTAVAIL, ErrorMeaning::kTryLater},
+    ErrorRule{SystemCall::kConnect, EADDRNOTAVAIL, ErrorClass::kRetryLater},
     // The previous process may still hold the lock on its folder.
-    ErrorRule{SystemCall::kLock, EWOULDBLOCK, ErrorMeaning::kTryLater},
-    ErrorRule{SystemCall::kLock, ENOLCK, ErrorMeaning::kTryLater},
+    ErrorRule{SystemCall::kLock, EWOULDBLOCK, ErrorClass::kRetryLater},
+    ErrorRule{SystemCall::kLock, ENOLCK, ErrorClass::kRetryLater},
     // The limit on epoll watches, or a temporary shortage in a file system.
-    ErrorRule{SystemCall::kEpoll, ENOSPC, ErrorMeaning::kTryLater},
+    ErrorRule{SystemCall::kEpoll, ENOSPC, ErrorClass::kRetryLater},
     // POCO could not create its event descriptor.
-    ErrorRule{SystemCall::kEpoll, EBADF, ErrorMeaning::kTryLater},
-    ErrorRule{SystemCall::kFile, EBUSY, ErrorMeaning::kTryLater},
-    ErrorRule{SystemCall::kFile, ETXTBSY, ErrorMeaning::kTryLater},
+    ErrorRule{SystemCall::kEpoll, EBADF, ErrorClass::kRetryLater},
+    ErrorRule{SystemCall::kFile, EBUSY, ErrorClass::kRetryLater},
+    ErrorRule{SystemCall::kFile, ETXTBSY, ErrorClass::kRetryLater},
 };
 
 }  // namespace detail
 
-inline ErrorMeaning meaning_of(SystemCall call, int error) {
+inline ErrorClass classify_error(SystemCall call, int error) {
   for (const detail::ErrorRule& rule : detail::kErrorRules)
     if (rule.call == call && rule.error == error) return rule.meaning;
   switch (error) {
     case EINTR:
-      return ErrorMeaning::kTryAtOnce;
+      return ErrorClass::kRetryNow;
     case EMFILE:
     case ENFILE:
     case ENOBUFS:
     case ENOMEM:
     case EAGAIN:
-      return ErrorMeaning::kTryLater;
+      return ErrorClass::kRetryLater;
     default:
-      return ErrorMeaning::kOver;
+      return ErrorClass::kPermanent;
   }
 }
 
@@ -99,9 +99,9 @@
 
   SystemCall call() const { return call_; }
   // Whether the same call may succeed when it is repeated, now or later.
-  bool may_pass() const {
-    const ErrorMeaning meaning = meaning_of(call_, code().value());
-    return meaning == ErrorMeaning::kTryLater || meaning == ErrorMeaning::kTryAtOnce;
+  bool is_transient() const {
+    const ErrorClass meaning = classify_error(call_, code().value());
+    return meaning == ErrorClass::kRetryLater || meaning == ErrorClass::kRetryNow;
   }
 
  private:
--- a/src/budget/arbiter.cpp
+++ b/src/budget/arbiter.cpp
@@ -11,16 +11,16 @@
 
 }  // namespace
 
-void Arbiter::lead(TimeUs now, const Ledger& ledger) {
-  follow();  // drops the state of an earlier leadership
+void Arbiter::become_leader(TimeUs now, const Ledger& ledger) {
+  step_down();  // drops the state of an earlier leadership
   leads_ = true;
   for (const auto& [key, member] : ledger.members())
-    running_[key] = {member.number, now + Terms::surely_over_after(member.term, ledger.terms().drift_ppm)};
+    running_[key] = {member.number, now + Terms::safe_expiry_delay(member.term, ledger.terms().drift_ppm)};
   if (ledger.terms().revision == 0 && own_terms_)
-    not_before_ = now + Terms::surely_over_after(own_terms_->term, own_terms_->drift_ppm);
+    not_before_ = now + Terms::safe_expiry_delay(own_terms_->term, own_terms_->drift_ppm);
 }
 
-void Arbiter::follow() {
+void Arbiter::step_down() {
   leads_ = false;
   next_ramp_step_at_.reset();
   not_before_ = 0;
@@ -28,7 +28,7 @@
   running_.clear();
 }
 
-bool Arbiter::asked(Ask request) {
+bool Arbiter::asked(LeaseRequest request) {
   const auto it = requests_.find(request.from);
   if (it == requests_.end() && requests_.size() >= kMaxQueuedRequests) return false;
   if (it == requests_.end() || it->second.seq < request.seq) requests_[request.from] = std::move(request);
@@ -73,7 +73,7 @@
   if (!leads_) return;
   for (const Grant& grant : grants) {
     if (grant.kind != Grant::Kind::kLease) continue;
-    const TimeUs expires_at = now + Terms::surely_over_after(grant.term, ledger.terms().drift_ppm);
+    const TimeUs expires_at = now + Terms::safe_expiry_delay(grant.term, ledger.terms().drift_ppm);
     RunningLease& running = running_[grant.to];
     // A renewal with a shorter term must not end an earlier, longer lease early.
     running = {grant.number, std::max(running.expires_at, expires_at)};
--- a/src/budget/arbiter.h
+++ b/src/budget/arbiter.h
@@ -21,15 +21,15 @@
 class Arbiter {
  public:
   // This keeper leads from now on; `ledger` must have all entries committed before its election.
-  void lead(TimeUs now, const Ledger& ledger);
+  void become_leader(TimeUs now, const Ledger& ledger);
   // This keeper no longer leads. Queued requests are dropped; their senders repeat them at another keeper.
-  void follow();
+  void step_down();
   bool leads() const { return leads_; }
 
   // Queues a lease request; only the newest one of each member is kept. Returns false if the queue is full.
-  bool asked(Ask request);
+  bool asked(LeaseRequest request);
   // Sets the terms of this keeper's file, which are proposed if they are newer than the agreed ones.
-  void wants(const Terms& terms) { own_terms_ = terms; }
+  void set_own_terms(const Terms& terms) { own_terms_ = terms; }
 
   // Returns the next entry to propose, if any. To be called, like `next_due`, only while no proposed entry is
   // pending.
@@ -40,7 +40,7 @@
   // When `next` has to be called again even if nothing arrives; none: no need.
   std::optional<TimeUs> next_due() const;
   // Nothing is granted yet because leases of a lost log may still be running.
-  bool waits_out() const { return not_before_ > 0; }
+  bool waits_for_old_leases() const { return not_before_ > 0; }
 
  private:
   struct RunningLease {
@@ -52,7 +52,7 @@
 
   bool leads_ = false;
   std::optional<Terms> own_terms_;
-  std::map<MemberKey, Ask> requests_;
+  std::map<MemberKey, LeaseRequest> requests_;
   std::map<MemberKey, RunningLease> running_;
   TimeUs not_before_ = 0;  // on a new log, the earliest time for its first entry; 0: no restriction
   std::optional<TimeUs> next_ramp_step_at_;
--- a/src/budget/holder.cpp
+++ b/src/budget/holder.cpp
@@ -13,18 +13,18 @@
 
 }  // namespace
 
-void Holder::reset_parts() {
+void LeaseHolder::reset_parts() {
   parts_.assign(terms_.allowances.size(), 0);
   held_.assign(terms_.allowances.size(), 0);
 }
 
-void Holder::drop_lease() {
+void LeaseHolder::drop_lease() {
   dropped_ = true;
   std::fill(parts_.begin(), parts_.end(), 0);
 }
 
-Ask Holder::ask(TimeUs now, std::vector<Parts> demand, const std::vector<Parts>& in_use) {
-  Ask request;
+LeaseRequest LeaseHolder::ask(TimeUs now, std::vector<Parts> demand, const std::vector<Parts>& parts_in_use) {
+  LeaseRequest request;
   request.from = self_;
   request.seq = ++seq_;
   request.revision = terms_.revision;
@@ -35,7 +35,7 @@
   for (std::size_t a = 0; a < parts_.size(); ++a) {
     // What is held falls to what is in use, but not below the lease; use alone never raises it.
     const Parts lease = leased(now) ? parts_[a] : 0;
-    held_[a] = std::max(lease, std::min(held_[a], value_or_zero(in_use, a)));
+    held_[a] = std::max(lease, std::min(held_[a], value_or_zero(parts_in_use, a)));
   }
   request.held = held_;
   demand.resize(parts_.size(), 0);
@@ -44,13 +44,13 @@
   return request;
 }
 
-std::optional<TimeUs> Holder::requested_at(std::uint64_t seq) const {
+std::optional<TimeUs> LeaseHolder::requested_at(std::uint64_t seq) const {
   for (const auto& [sent_seq, at] : sent_requests_)
     if (sent_seq == seq) return at;
   return std::nullopt;
 }
 
-void Holder::adopt_terms(const Terms& terms) {
+void LeaseHolder::adopt_terms(const Terms& terms) {
   // The keepers' terms apply even if they are older than the own file's: otherwise a member whose file was
   // updated before the keepers' would have no lease until theirs is updated. Late answers are rejected by
   // their lease number.
@@ -65,13 +65,13 @@
   parts_.assign(held_.size(), 0);
 }
 
-bool Holder::answered(TimeUs now, const Grant& grant, const std::vector<Terms>& terms) {
+bool LeaseHolder::answered(TimeUs now, const Grant& grant, const std::vector<Terms>& terms) {
   const auto asked = requested_at(grant.seq);
   if (grant.to != self_ || !asked) return false;
   if (grant.kind == Grant::Kind::kLeft) return left_ = leaving_;
   if (leaving_) return false;
   superseded_ = superseded_ || grant.kind == Grant::Kind::kSuperseded;
-  not_admitted_ = grant.kind == Grant::Kind::kNoRoom;
+  not_admitted_ = grant.kind == Grant::Kind::kNotAdmitted;
   if (superseded_) drop_lease();
   if (grant.kind != Grant::Kind::kLease) return superseded_ || not_admitted_;
   if (superseded_ || grant.number <= number_) return false;
@@ -84,7 +84,7 @@
   ends_at_ = *asked + grant.term;
   dropped_ = false;
   level_ = grant.level;
-  half_granted_ = grant.settled;
+  half_granted_ = grant.half_granted;
   live_ = std::max(grant.live, 1);
   place_ = std::clamp(grant.place, 0, live_ - 1);
   for (std::size_t a = 0; a < parts_.size(); ++a) {
@@ -95,7 +95,7 @@
   return true;
 }
 
-Parts Holder::usable(TimeUs now, std::size_t a) const {
+Parts LeaseHolder::usable(TimeUs now, std::size_t a) const {
   if (superseded_) return 0;
   const Parts cut_off = terms_.allowances[a].cut_off;
   return leased(now) ? cut_off + parts_[a] : cut_off;
--- a/src/budget/holder.h
+++ b/src/budget/holder.h
@@ -17,15 +17,17 @@
 
 namespace orchidgw::budget {
 
-class Holder {
+class LeaseHolder {
  public:
   // `terms`: of this controller's file; the keepers' terms replace them later.
-  Holder(MemberKey self, Terms terms) : self_(std::move(self)), terms_(std::move(terms)) { reset_parts(); }
+  LeaseHolder(MemberKey self, Terms terms) : self_(std::move(self)), terms_(std::move(terms)) {
+    reset_parts();
+  }
 
   // Returns the next lease request, to be sent now: the term of a lease that answers it counts from `now`.
-  // `demand`: what could be used, by allowance. `in_use`: what is in use beyond the cut-off part and can't be
-  // given back before it ends, by allowance.
-  Ask ask(TimeUs now, std::vector<Parts> demand, const std::vector<Parts>& in_use);
+  // `demand`: what could be used, by allowance. `parts_in_use`: what is in use beyond the cut-off part and
+  // can't be given back before it ends, by allowance.
+  LeaseRequest ask(TimeUs now, std::vector<Parts> demand, const std::vector<Parts>& parts_in_use);
 
   // Handles an answer; `terms`: none, or those that it refers to. Returns false if it changes nothing (late,
   // duplicate, not for this process).
@@ -41,11 +43,11 @@
   bool leaving() const { return leaving_; }
   bool left() const { return left_; }              // confirmed by the keepers
   bool superseded() const { return superseded_; }  // this process must not use even its cut-off part any more
-  bool no_room() const { return not_admitted_; }   // the last answer refused admission to the fleet
+  bool not_admitted() const { return not_admitted_; }  // the last answer refused admission to the fleet
 
   // The last lease is smaller than the one before and has to be acknowledged by a request soon, because other
   // members wait for the difference.
-  bool owes_answer() const { return must_acknowledge_; }
+  bool must_acknowledge() const { return must_acknowledge_; }
 
   const Terms& terms() const { return terms_; }
   const MemberKey& self() const { return self_; }
@@ -53,8 +55,8 @@
   Parts part(std::size_t a) const { return parts_[a]; }  // of the last lease, even if it has expired
   int live() const { return live_; }
   int place() const { return place_; }
-  bool settled() const { return half_granted_; }  // see Grant::settled
-  Parts level() const { return level_; }          // of the fleet's ramp
+  bool half_granted() const { return half_granted_; }  // see Grant::settled
+  Parts level() const { return level_; }               // of the fleet's ramp
 
  private:
   void reset_parts();
--- a/src/budget/ledger.cpp
+++ b/src/budget/ledger.cpp
@@ -27,8 +27,8 @@
   for (const Expiry& expiry : entry.expired) expire(expiry);
   parts_returned = parts_returned || members_.size() < members;
   std::vector<Grant> out;
-  std::vector<const Ask*> accepted;
-  for (const Ask& ask : entry.asks) {
+  std::vector<const LeaseRequest*> accepted;
+  for (const LeaseRequest& ask : entry.asks) {
     Grant refusal;
     parts_returned = parts_returned || (ask.leaving && members_.contains(ask.from));
     if (record(ask, refusal)) {
@@ -42,7 +42,7 @@
   const Division division = compute_targets();
   std::vector<Parts> free_parts(terms_.allowances.size());
   for (std::size_t a = 0; a < free_parts.size(); ++a) free_parts[a] = free(a);
-  for (const Ask* ask : accepted) {
+  for (const LeaseRequest* ask : accepted) {
     const auto it = members_.find(ask->from);  // may have left or been superseded within this entry
     if (it != members_.end() && !it->second.superseded) out.push_back(grant(*ask, division, free_parts));
   }
@@ -84,7 +84,7 @@
 
 // Records the member's request and admits new members. Returns false if no lease is to be granted; `refusal`
 // is the answer then, unless its kind is still kLease: the request is stale and gets no answer.
-bool Ledger::record(const Ask& ask, Grant& refusal) {
+bool Ledger::record(const LeaseRequest& ask, Grant& refusal) {
   refusal.to = ask.from;
   refusal.seq = ask.seq;
   const auto refuse = [&](Grant::Kind kind) {
@@ -104,8 +104,8 @@
     // between two starts, it is the later start that waits until the earlier one's lease has expired.
     for (const auto& [key, member] : members_)
       if (key.name == ask.from.name && key.incarnation > ask.from.incarnation)
-        return refuse(Grant::Kind::kNoRoom);
-    if (!can_admit(ask.from)) return refuse(Grant::Kind::kNoRoom);
+        return refuse(Grant::Kind::kNotAdmitted);
+    if (!can_admit(ask.from)) return refuse(Grant::Kind::kNotAdmitted);
     for (auto& [key, member] : members_)
       if (key.name == ask.from.name) member.superseded = true;
     it = members_.try_emplace(ask.from).first;
@@ -195,7 +195,7 @@
   return std::max(granted, std::min(target, out + std::max<Parts>(usable, 0)));
 }
 
-Grant Ledger::grant(const Ask& ask, const Division& division, std::vector<Parts>& free) {
+Grant Ledger::grant(const LeaseRequest& ask, const Division& division, std::vector<Parts>& free) {
   Member& m = members_.at(ask.from);
   Grant out;
   out.to = ask.from;
@@ -204,7 +204,7 @@
   out.revision = terms_.revision;
   out.term = terms_.term;
   out.level = level_;
-  out.settled = true;
+  out.half_granted = true;
   m.term = std::max(m.term, terms_.term);
   const auto at = std::lower_bound(division.members.begin(), division.members.end(), ask.from,
                                    [](const MemberKey* one, const MemberKey& key) { return *one < key; });
@@ -218,7 +218,7 @@
     if (ask.revision != terms_.revision) part = std::min(part, m.granted[a]);
     // Half of the target is enough: parts move with demand all the time, and a member that waits for leases
     // from before a restart to expire has far less.
-    out.settled = out.settled && part >= due / 2;
+    out.half_granted = out.half_granted && part >= due / 2;
     m.granted[a] = part;
     m.unacked[a] = std::max(m.unacked[a], part);
     free[a] -= m.outstanding(a) - before;
--- a/src/budget/ledger.h
+++ b/src/budget/ledger.h
@@ -53,7 +53,7 @@
  private:
   void adopt_terms(const Terms& terms);
   void expire(const Expiry& expiry);
-  bool record(const Ask& ask, Grant& refusal);
+  bool record(const LeaseRequest& ask, Grant& refusal);
   bool can_admit(const MemberKey& key) const;
   struct Division {
     std::vector<const MemberKey*> members;    // all that are not superseded, in the order of their keys
@@ -61,7 +61,7 @@
   };
   void lower_level_if_idle();
   Division compute_targets() const;
-  Grant grant(const Ask& ask, const Division& division, std::vector<Parts>& free);
+  Grant grant(const LeaseRequest& ask, const Division& division, std::vector<Parts>& free);
   Parts next_lease_part(std::size_t a, const Member& member, Parts target, Parts free) const;
 
   Parts at_level(Parts parts) const {
--- a/src/budget/terms.h
+++ b/src/budget/terms.h
@@ -39,14 +39,14 @@
   // a low level to the total over this time. Engines are in slow start then, and the limit holds for the
   // fleet as a whole, however many controllers there are. 0: no ramp.
   TimeUs ramp = 0;
-  TimeUs longest_rest = 0;  // longest time for which the fleet holds a key; 0: it holds no keys
+  TimeUs longest_key_hold = 0;  // longest time for which the fleet holds a key; 0: it holds no keys
   bool operator==(const Terms&) const = default;
 
   // The largest sum of all leases of allowance `a`: the total less all cut-off parts.
   Parts shared(std::size_t a) const { return allowances[a].whole - largest * allowances[a].cut_off; }
   // Time after which a lease of `term` has expired for its holder as well, counted on a keeper's clock from
   // when it was granted there, with the drift of both clocks included.
-  static TimeUs surely_over_after(TimeUs term, std::int64_t drift_ppm) {
+  static TimeUs safe_expiry_delay(TimeUs term, std::int64_t drift_ppm) {
     return term + 2 * (term * drift_ppm / 1'000'000) + 1;
   }
 };
@@ -59,7 +59,7 @@
 };
 
 // A member's request for a lease, with its state.
-struct Ask {
+struct LeaseRequest {
   MemberKey from;
   std::uint64_t seq = 0;       // rises with each request of an incarnation
   std::uint64_t revision = 0;  // of the terms that the member knows
@@ -67,16 +67,16 @@
   bool leaving = false;        // the member uses nothing but its cut-off parts any more
   std::vector<Parts> demand;   // by allowance: what it could use
   std::vector<Parts> held;     // by allowance: the most that it uses until it is granted more
-  bool operator==(const Ask&) const = default;
+  bool operator==(const LeaseRequest&) const = default;
 };
 
 // The answer to a lease request.
 struct Grant {
   enum class Kind {
     kLease,
-    kSuperseded,  // a later incarnation of its name is a member: it must not use anything any more
-    kNoRoom,      // not admitted for now: `largest` members, or a later incarnation of its name is a member
-    kLeft         // confirms that it has left
+    kSuperseded,   // a later incarnation of its name is a member: it must not use anything any more
+    kNotAdmitted,  // not admitted for now: `largest` members, or a later incarnation of its name is a member
+    kLeft          // confirms that it has left
   };
   MemberKey to;
   std::uint64_t seq = 0;  // of the request; the term counts from the time when that was sent
@@ -88,7 +88,8 @@
   int place = 0;             // index of this member among them, from 0
   std::vector<Parts> parts;  // by allowance, in addition to the cut-off parts
   Parts level = kFullLevel;  // of the ramp: limits the fleet to this share of the total, in parts per million
-  bool settled = false;  // at least half of its target in each allowance: old leases do not block it any more
+  bool half_granted =
+      false;  // at least half of its target in each allowance: old leases do not block it any more
   bool operator==(const Grant&) const = default;
 };
 
@@ -103,7 +104,7 @@
 struct Entry {
   std::vector<Terms> terms;  // at most one
   std::vector<Expiry> expired;
-  std::vector<Ask> asks;
+  std::vector<LeaseRequest> asks;
   std::vector<Parts> level = {};  // at most one: a level of the ramp, in parts per million
   bool empty() const { return terms.empty() && expired.empty() && asks.empty() && level.empty(); }
   bool operator==(const Entry&) const = default;
--- a/src/cli/commands.cpp
+++ b/src/cli/commands.cpp
@@ -48,7 +48,7 @@
                                          static_cast<int>(class_settings - settings.classes.begin()),
                                          options.tenant, options.table, options.has_key);
   out << "route: " << explained.route << '\n';
-  for (const limits::Explained& limit : explained.limits)
+  for (const limits::ExplainedLimit& limit : explained.limits)
     out << std::left << std::setw(22) << limit.field << std::setw(44) << limit.value << limit.set_by << '\n';
   return kExitSuccess;
 }
--- a/src/cli/recover_command.cpp
+++ b/src/cli/recover_command.cpp
@@ -10,12 +10,13 @@
 namespace orchidgw::cli {
 namespace {
 
-void write_recovered_log(store::LogStore& store, const store::Stored& found, const recovery::OneCopy& copy) {
+void write_recovered_log(store::LogStore& store, const store::StoredLog& found,
+                         const recovery::SingleCopyRecovery& copy) {
   store.set_owner(copy.owner);
   store.set_term(copy.term);
   store.truncate(found.first);
   store.put_snapshot({copy.index, copy.index_term, copy.index, keeper::configuration_of({copy.owner.keeper}),
-                      thrift::write_state(copy.state)},
+                      thrift::encode_state(copy.state)},
                      copy.index);
   store.commit();
 }
@@ -33,15 +34,15 @@
   if (!loaded->fleet) return fail("fleet recover: no fleet's file is named (--fleet)");
   const std::string& folder = loaded->fleet->store;
   try {
-    store::LmdbStore store(folder, store::kKeeperBytes);
-    const store::Stored found = store.load();
+    store::LmdbStore store(folder, store::kMaxKeeperStoreBytes);
+    const store::StoredLog found = store.load();
     const ReplayedLog replayed = replay_log(found);
     if (!replayed.fault.empty()) return fail(folder + ": " + replayed.fault);
-    const recovery::OneCopy copy =
-        recovery::go_on_from_one_copy(found, keeper::voters_of(found), replayed.state, *loaded->fleet,
-                                      loaded->controller.name, options.lost);
+    const recovery::SingleCopyRecovery copy =
+        recovery::recover_from_single_copy(found, keeper::voters_in_log(found), replayed.state,
+                                           *loaded->fleet, loaded->controller.name, options.lost);
     if (!copy.fault.empty()) return fail("fleet recover: " + folder + ": " + copy.fault);
-    for (const std::string& line : copy.says) out << line << '\n';
+    for (const std::string& line : copy.operator_notes) out << line << '\n';
     if (options.confirm != loaded->fleet->name) {
       out << "nothing was changed: --confirm " << loaded->fleet->name << " does it\n";
       return options.confirm.empty() ? kExitSuccess : kExitFailure;
--- a/src/cli/store_command.cpp
+++ b/src/cli/store_command.cpp
@@ -11,12 +11,12 @@
 
 constexpr std::size_t kUnusedMaxBytes = std::size_t{1024} * 1024;  // no effect on a store opened for reading
 
-void print_summary(const store::Stored& stored, const fleet::State& state, std::ostream& out) {
+void print_summary(const store::StoredLog& stored, const fleet::State& state, std::ostream& out) {
   const budget::Ledger& ledger = state.ledger;
   if (stored.owner) {
     out << "fleet " << stored.owner->fleet << ' ' << stored.owner->number << " keeper "
         << stored.owner->keeper << " knows_begun";
-    for (const std::uint32_t keeper : stored.owner->begun) out << ' ' << keeper;
+    for (const std::uint32_t keeper : stored.owner->bootstrapped) out << ' ' << keeper;
     out << '\n';
   }
   out << "term " << stored.term << " vote " << stored.vote << " snapshot "
@@ -27,27 +27,27 @@
   for (std::size_t a = 0; a < ledger.terms().allowances.size(); ++a)
     out << "allowance " << ledger.terms().allowances[a].name << " whole "
         << ledger.terms().allowances[a].whole << " leased " << ledger.outstanding(a) << '\n';
-  out << "keys rest " << state.keys.rests().size() << " given " << state.keys.last_number()
+  out << "keys rest " << state.keys.holds().size() << " given " << state.keys.last_number()
       << (state.keys.settled() ? "" : " not settled") << '\n';
 }
 
-void print_entries(const store::Stored& stored, std::ostream& out) {
+void print_entries(const store::StoredLog& stored, std::ostream& out) {
   std::uint64_t index = stored.first;
   for (const store::StoredEntry& one : stored.entries) {
     out << "entry " << index++ << " term " << one.term;
-    const auto entry = one.type == store::kCommandEntry ? thrift::read_entry(one.data) : std::nullopt;
+    const auto entry = one.type == store::kCommandEntry ? thrift::decode_entry(one.data) : std::nullopt;
     if (!entry) out << " type " << one.type;
     if (entry) {
       for (const budget::Terms& terms : entry->budget.terms) out << " terms " << terms.revision;
       for (const budget::Parts level : entry->budget.level) out << " level " << level;
       for (const budget::Expiry& over : entry->budget.expired)
         out << " over " << over.member.name << '/' << over.member.incarnation << " lease " << over.number;
-      for (const budget::Ask& ask : entry->budget.asks)
+      for (const budget::LeaseRequest& ask : entry->budget.asks)
         out << " ask " << ask.from.name << '/' << ask.from.incarnation << " seq " << ask.seq << " acked "
             << ask.acked << (ask.leaving ? " leaving" : "");
-      for (const std::uint64_t number : entry->keys.over) out << " key_over " << number;
+      for (const std::uint64_t number : entry->keys.ended_holds) out << " key_over " << number;
       if (entry->keys.settled) out << " keys_settled";
-      for (const promises::KeyAsk& ask : entry->keys.asks)
+      for (const promises::KeyRequest& ask : entry->keys.asks)
         out << " keys " << ask.from.name << '/' << ask.from.incarnation << " seq " << ask.seq << " wants "
             << ask.wants.size() << " free " << ask.free.size();
     }
@@ -57,10 +57,10 @@
 
 }  // namespace
 
-ReplayedLog replay_log(const store::Stored& stored) {
+ReplayedLog replay_log(const store::StoredLog& stored) {
   ReplayedLog out;
   if (stored.snapshot) {
-    auto state = thrift::read_state(stored.snapshot->data);
+    auto state = thrift::decode_state(stored.snapshot->data);
     if (!state) {
       out.fault = "the snapshot at " + std::to_string(stored.snapshot->index) + " can't be read";
       return out;
@@ -71,7 +71,7 @@
   for (const store::StoredEntry& one : stored.entries) {
     const std::uint64_t entry_index = index++;
     if (one.type != store::kCommandEntry) continue;
-    const auto entry = thrift::read_entry(one.data);
+    const auto entry = thrift::decode_entry(one.data);
     if (!entry) {
       out.fault = "entry " + std::to_string(entry_index) + " can't be read";
       return out;
@@ -84,7 +84,7 @@
 }
 
 int run_store(StoreCommand command, const std::string& folder, std::ostream& out, std::ostream& err) {
-  store::Stored stored;
+  store::StoredLog stored;
   try {
     store::LmdbStore store(folder, kUnusedMaxBytes, store::LmdbStore::Open::kRead);
     stored = store.load();
--- a/src/cli/store_command.h
+++ b/src/cli/store_command.h
@@ -21,7 +21,7 @@
   fleet::State state;
   std::string fault;  // which part of the store can't be read; empty: none
 };
-ReplayedLog replay_log(const store::Stored& stored);
+ReplayedLog replay_log(const store::StoredLog& stored);
 
 // Returns the exit code (command_line.h); writes an error as one line to `err`.
 int run_store(StoreCommand command, const std::string& folder, std::ostream& out, std::ostream& err);
--- a/src/config/address.cpp
+++ b/src/config/address.cpp
@@ -15,7 +15,7 @@
   address.host = text.substr(0, colon);
   in_addr parsed{};
   if (inet_pton(AF_INET, address.host.c_str(), &parsed) != 1) return std::nullopt;
-  const auto port = core::parse_whole<std::uint16_t>(std::string_view(text).substr(colon + 1));
+  const auto port = core::parse_integer<std::uint16_t>(std::string_view(text).substr(colon + 1));
   if (!port || *port == 0) return std::nullopt;
   address.port = *port;
   return address;
--- a/src/config/controller_config.cpp
+++ b/src/config/controller_config.cpp
@@ -27,14 +27,14 @@
 
 core::Address read_address(const Value& object, const char* key) {
   const auto address = parse_address(string_or(object, key, ""));
-  if (!address) wrong(key, "an address like 127.0.0.1:7001 is needed");
+  if (!address) throw_field_error(key, "an address like 127.0.0.1:7001 is needed");
   return *address;
 }
 
 std::uint64_t read_seed(const Value& object) {
   const std::string text = string_or(object, "seed", "0");
-  const auto seed = core::parse_whole<std::uint64_t>(text, 16);
-  if (!seed) wrong("seed", "hex digits are needed");
+  const auto seed = core::parse_integer<std::uint64_t>(text, 16);
+  if (!seed) throw_field_error("seed", "hex digits are needed");
   return *seed;
 }
 
@@ -43,7 +43,7 @@
   const char* listen = std::getenv("BALANCER_LISTEN");
   if (!listen) return;
   const auto address = parse_address(listen);
-  if (!address) wrong("BALANCER_LISTEN", "an address like 127.0.0.1:7001 is needed");
+  if (!address) throw_field_error("BALANCER_LISTEN", "an address like 127.0.0.1:7001 is needed");
   config.listen = *address;
 }
 
@@ -52,21 +52,22 @@
 ControllerConfig parse_controller_config(const std::string& text) {
   rapidjson::Document document;
   document.Parse<rapidjson::kParseIterativeFlag>(text.data(), text.size());
-  if (document.HasParseError() || !document.IsObject()) wrong("BALANCER_CONFIG", "a JSON object is needed");
+  if (document.HasParseError() || !document.IsObject())
+    throw_field_error("BALANCER_CONFIG", "a JSON object is needed");
   ControllerConfig config;
   config.name = string_or(document, "name", "");
   config.listen = read_address(document, "listen");
   config.seed = read_seed(document);
   const Value& limits = object_or_empty(document, "limits");
   config.memory_mb = integer_or(limits, "memory_mb", kDefaultMemoryMb);
-  if (config.memory_mb <= 0) wrong("limits.memory_mb", "a number above 0 is needed");
+  if (config.memory_mb <= 0) throw_field_error("limits.memory_mb", "a number above 0 is needed");
   config.sockets = integer_or(limits, "sockets", kDefaultSockets);
-  if (config.sockets < kMinSockets) wrong("limits.sockets", "32 or more is needed");
+  if (config.sockets < kMinSockets) throw_field_error("limits.sockets", "32 or more is needed");
   config.change_log = read_address(document, "changelog");
-  const Value* known = find_member(document, "known");
-  if (known) config.known = read_fleet_changes(*known);
+  const Value* initial_engine_list = find_member(document, "known");
+  if (initial_engine_list) config.initial_engine_list = read_engine_list_events(*initial_engine_list);
   const Value* settings = find_member(document, "settings");
-  if (!settings || !settings->IsObject()) wrong("settings", "an object is needed");
+  if (!settings || !settings->IsObject()) throw_field_error("settings", "an object is needed");
   config.settings = read_settings(*settings);
   config.operator_file = string_or(document, "operatorFile", "");
   config.fleet_file = string_or(document, "fleetFile", "");
@@ -81,8 +82,8 @@
 // reload is tried again and doesn't fail for good.
 [[noreturn]] void throw_read_error(const std::string& path) {
   const SystemCallError error(SystemCall::kFile, errno, path);
-  if (error.may_pass()) throw error;
-  wrong("BALANCER_CONFIG", "the file can't be read");
+  if (error.is_transient()) throw error;
+  throw_field_error("BALANCER_CONFIG", "the file can't be read");
 }
 
 std::string read_file(const std::string& path) {
@@ -102,7 +103,7 @@
 }  // namespace
 
 ControllerConfig load_controller_config(const std::string& path) {
-  if (path.empty()) wrong("BALANCER_CONFIG", "the path of the configuration is needed");
+  if (path.empty()) throw_field_error("BALANCER_CONFIG", "the path of the configuration is needed");
   ControllerConfig config = parse_controller_config(read_file(path));
   override_from_environment(config);
   return config;
--- a/src/config/controller_config.h
+++ b/src/config/controller_config.h
@@ -14,10 +14,10 @@
   std::string name;
   core::Address listen;
   std::uint64_t seed = 0;
-  std::int64_t memory_mb = 0;  // memory limit of this process
-  std::int64_t sockets = 0;    // limit of open sockets
-  core::Address change_log;    // the server that publishes changes of the engine list
-  FleetChanges known;          // the engine list when the configuration was written
+  std::int64_t memory_mb = 0;            // memory limit of this process
+  std::int64_t sockets = 0;              // limit of open sockets
+  core::Address change_log;              // the server that publishes changes of the engine list
+  EngineListEvents initial_engine_list;  // the engine list when the configuration was written
   Settings settings;
   TimeUs connect_timeout = 0;
   std::string operator_file;  // path of the operator file; empty: not set here
--- a/src/config/fleet_changes.cpp
+++ b/src/config/fleet_changes.cpp
@@ -18,7 +18,7 @@
   if (!member.IsObject()) return std::nullopt;
   core::EngineListing listing;
   listing.entry.id = string_or(member, "id", "");
-  const auto state = engine_state_named(string_or(member, "phase", ""));
+  const auto state = parse_engine_state(string_or(member, "phase", ""));
   const auto address = parse_address(string_or(member, "host_port", ""));
   if (listing.entry.id.empty() || !state) return std::nullopt;
   if (!address && *state == EngineState::kInService) return std::nullopt;
@@ -32,11 +32,11 @@
   return listing;
 }
 
-std::optional<FleetChange> read_change(const Value& event) {
+std::optional<EngineListEvent> read_change(const Value& event) {
   if (!event.IsObject()) return std::nullopt;
   const Value* fleet = find_member(event, "fleet");
   if (!fleet || !fleet->IsObject()) return std::nullopt;
-  FleetChange change;
+  EngineListEvent change;
   change.number = static_cast<std::uint64_t>(integer_or(event, "seq", 0));
   change.complete = bool_or(*fleet, "complete", false);
   const Value* members = find_member(*fleet, "members");
@@ -53,32 +53,32 @@
 
 }  // namespace
 
-std::optional<EngineState> engine_state_named(std::string_view word) {
+std::optional<EngineState> parse_engine_state(std::string_view word) {
   if (word == "in_service") return EngineState::kInService;
   if (word == "terminating") return EngineState::kDraining;
   if (word == "terminated") return EngineState::kGone;
   return std::nullopt;
 }
 
-FleetChanges read_fleet_changes(const Value& value) {
-  if (!value.IsObject()) wrong("known", "an object is needed");
-  FleetChanges out;
+EngineListEvents read_engine_list_events(const Value& value) {
+  if (!value.IsObject()) throw_field_error("known", "an object is needed");
+  EngineListEvents out;
   const std::int64_t last = integer_or(value, "seq", 0);
-  if (last < 0) wrong("seq", "a number from 0 is needed");
+  if (last < 0) throw_field_error("seq", "a number from 0 is needed");
   out.last = static_cast<std::uint64_t>(last);
   const Value* results = find_member(value, "results");
   if (!results) return out;
-  if (!results->IsArray()) wrong("results", "a list is needed");
+  if (!results->IsArray()) throw_field_error("results", "a list is needed");
   for (const auto& event : results->GetArray())
     if (auto change = read_change(event)) out.changes.push_back(std::move(*change));
   return out;
 }
 
-FleetChanges parse_fleet_changes(std::string_view text) {
+EngineListEvents parse_engine_list_events(std::string_view text) {
   rapidjson::Document document;
   document.Parse<rapidjson::kParseIterativeFlag>(text.data(), text.size());
-  if (document.HasParseError()) wrong("results", "JSON is needed");
-  return read_fleet_changes(document);
+  if (document.HasParseError()) throw_field_error("results", "JSON is needed");
+  return read_engine_list_events(document);
 }
 
 }  // namespace orchidgw::config
--- a/src/config/fleet_changes.h
+++ b/src/config/fleet_changes.h
@@ -14,23 +14,23 @@
 
 namespace orchidgw::config {
 
-struct FleetChange {
+struct EngineListEvent {
   std::uint64_t number = 0;  // its sequence number
   bool complete = false;     // `engines` is the whole list; else only the engines that changed
   std::vector<core::EngineListing> engines;
 };
 
-struct FleetChanges {
-  std::uint64_t last = 0;            // sequence number of the last event
-  std::vector<FleetChange> changes;  // without events of other kinds
+struct EngineListEvents {
+  std::uint64_t last = 0;                // sequence number of the last event
+  std::vector<EngineListEvent> changes;  // without events of other kinds
 };
 
 // Parses the state of an engine; the change log and the simulator use the same words. nullopt: unknown word.
-std::optional<EngineState> engine_state_named(std::string_view word);
+std::optional<EngineState> parse_engine_state(std::string_view word);
 
 // Both throw FieldError if the input is no list of events. An invalid engine is left out; the other engines
 // of its event are kept.
-FleetChanges read_fleet_changes(const rapidjson::Value& value);
-FleetChanges parse_fleet_changes(std::string_view text);
+EngineListEvents read_engine_list_events(const rapidjson::Value& value);
+EngineListEvents parse_engine_list_events(std::string_view text);
 
 }  // namespace orchidgw::config
--- a/src/config/json_fields.h
+++ b/src/config/json_fields.h
@@ -17,7 +17,7 @@
 };
 
 // Throws FieldError.
-[[noreturn]] void wrong(const std::string& field, const char* requirement);
+[[noreturn]] void throw_field_error(const std::string& field, const char* requirement);
 
 // Returns the member named `key`, or nullptr if it is absent or null.
 const rapidjson::Value* find_member(const rapidjson::Value& object, const char* key);
--- a/src/configuration/configuration.cpp
+++ b/src/configuration/configuration.cpp
@@ -19,8 +19,8 @@
 
 int last_limits_version = 0;  // number of the last limits that this process has read
 
-log::Choice log_choice(const Sources& sources, const operator_file::LogChoice& file) {
-  log::Choice choice;
+log::LogOptions log_choice(const Sources& sources, const operator_file::LogChoice& file) {
+  log::LogOptions choice;
   const std::string& level = sources.log_level.empty() ? file.level : sources.log_level;
   const std::string& format = sources.log_format.empty() ? file.format : sources.log_format;
   choice.level = log::level_named(level, log::Level::kInfo);
@@ -46,7 +46,7 @@
   operator_file::FleetFileResult read =
       operator_file::read_fleet_file(operator_file::load_file(path, max_size.bytes), max_size);
   if (!sources.fleet_store.empty()) read.fleet.store = sources.fleet_store;
-  const bool is_keeper = read.fleet.keeper_named(controller.name) != nullptr;
+  const bool is_keeper = read.fleet.find_keeper(controller.name) != nullptr;
   if (read.faults.empty() && is_keeper && read.fleet.store.empty())
     read.faults.push_back(
         {{}, "store", "'" + controller.name + "' keeps, which needs a folder: here, or --fleet-store"});
@@ -84,7 +84,7 @@
   if (!read.faults.empty()) throw_faults(path, read.faults);
   const Settings& settings = running != nullptr ? *running : out.controller.settings;
   auto faults = limits::check(settings, read.file.limits, max_route_count(out.controller.memory_mb));
-  if (!out.fleet) limits::check_no_fleet(read.file.limits, faults);
+  if (!out.fleet) limits::check_no_fleet_scope(read.file.limits, faults);
   if (!faults.empty()) throw_faults(path, faults);
   const auto level_faults = service_level::check(settings, read.file.levels);
   if (!level_faults.empty()) throw_faults(path, level_faults);
--- a/src/configuration/configuration.h
+++ b/src/configuration/configuration.h
@@ -34,7 +34,7 @@
   std::shared_ptr<const limits::LimitSet> limits;          // null: no operator file
   std::shared_ptr<const service_level::LevelFile> levels;  // null: no operator file
   std::optional<fleet::FleetConfig> fleet;                 // nullopt: this controller is not in a fleet
-  log::Choice log;
+  log::LogOptions log;
 };
 
 // The configuration is invalid. `lines` has one line for each fault; it is never empty.
--- a/src/core/connection_end.cpp
+++ b/src/core/connection_end.cpp
@@ -4,22 +4,23 @@
 
 namespace orchidgw::core {
 
-static_assert(kConnectionEnds <= metrics::kEndsMost);
-static_assert(kDenials == metrics::kDenialsMost);
-static_assert(static_cast<std::size_t>(OutcomeKind::kMoot) + 1 == metrics::kOutcomesMost);
+static_assert(kConnectionEndCount <= metrics::kMaxConnectionEnds);
+static_assert(kDenialCount == metrics::kMaxDenials);
+static_assert(static_cast<std::size_t>(OutcomeKind::kNotSent) + 1 == metrics::kMaxOutcomes);
 
-metrics::Names counter_names() {
-  return {
-      [](std::size_t i) { return name_of(static_cast<OutcomeKind>(i)); },
-      [](std::size_t i) { return i < kConnectionEnds ? name_of(static_cast<ConnectionEnd>(i)) : nullptr; },
-      [](std::size_t i) { return orchidgw::name_of(static_cast<Denial>(i)); }};
+metrics::CounterNames counter_names() {
+  return {[](std::size_t i) { return name_of(static_cast<OutcomeKind>(i)); },
+          [](std::size_t i) {
+            return i < kConnectionEndCount ? name_of(static_cast<ConnectionEnd>(i)) : nullptr;
+          },
+          [](std::size_t i) { return orchidgw::name_of(static_cast<Denial>(i)); }};
 }
 
 const char* name_of(ConnectionEnd end) {
   switch (end) {
     case ConnectionEnd::kRefused:
       return "refused";
-    case ConnectionEnd::kNotUpInTime:
+    case ConnectionEnd::kConnectTimeout:
       return "not_up_in_time";
     case ConnectionEnd::kUnreachable:
       return "unreachable";
@@ -51,17 +52,17 @@
       return "idle_expired";
     case ConnectionEnd::kAttemptOver:
       return "attempt_over";
-    case ConnectionEnd::kTooMuch:
+    case ConnectionEnd::kLimitExceeded:
       return "too_much";
-    case ConnectionEnd::kMadeRoom:
+    case ConnectionEnd::kEvicted:
       return "made_room";
-    case ConnectionEnd::kMoved:
+    case ConnectionEnd::kAddressChanged:
       return "moved";
     case ConnectionEnd::kShutDown:
       return "shut_down";
-    case ConnectionEnd::kNoIntent:
+    case ConnectionEnd::kIntentNotStored:
       return "no_intent";
-    case ConnectionEnd::kKeyRests:
+    case ConnectionEnd::kKeyHeld:
       return "key_rests";
     case ConnectionEnd::kWithdrawn:
       return "withdrawn";
@@ -85,7 +86,7 @@
       return "reset";
     case OutcomeKind::kCancelled:
       return "cancelled";
-    case OutcomeKind::kMoot:
+    case OutcomeKind::kNotSent:
       return "moot";
   }
   return "unknown";
@@ -94,7 +95,7 @@
 bool may_have_arrived(ConnectionEnd end) {
   switch (end) {
     case ConnectionEnd::kRefused:
-    case ConnectionEnd::kNotUpInTime:
+    case ConnectionEnd::kConnectTimeout:
     case ConnectionEnd::kUnreachable:
     case ConnectionEnd::kNoDescriptor:
     case ConnectionEnd::kResetUnsent:
@@ -103,8 +104,8 @@
     case ConnectionEnd::kDroppedUnsent:
     case ConnectionEnd::kIdleExpired:
     case ConnectionEnd::kAttemptOver:
-    case ConnectionEnd::kNoIntent:
-    case ConnectionEnd::kKeyRests:
+    case ConnectionEnd::kIntentNotStored:
+    case ConnectionEnd::kKeyHeld:
     case ConnectionEnd::kWithdrawn:
       return false;
     case ConnectionEnd::kResetUnanswered:
@@ -114,9 +115,9 @@
     case ConnectionEnd::kSilent:
     case ConnectionEnd::kUnreadable:
     case ConnectionEnd::kDropped:
-    case ConnectionEnd::kTooMuch:
-    case ConnectionEnd::kMadeRoom:
-    case ConnectionEnd::kMoved:
+    case ConnectionEnd::kLimitExceeded:
+    case ConnectionEnd::kEvicted:
+    case ConnectionEnd::kAddressChanged:
     case ConnectionEnd::kShutDown:
       return true;
   }
@@ -136,7 +137,7 @@
     // Otherwise all engines at once would be taken for faulty while this process is short of descriptors.
     case ConnectionEnd::kNoDescriptor:
     case ConnectionEnd::kWithdrawn:
-      return may_have_started ? OutcomeKind::kReset : OutcomeKind::kMoot;
+      return may_have_started ? OutcomeKind::kReset : OutcomeKind::kNotSent;
     default:  // all others show only whether the query may have run
       return may_have_started || may_have_arrived(end) ? OutcomeKind::kReset : OutcomeKind::kConnectFailed;
   }
--- a/src/core/connection_end.h
+++ b/src/core/connection_end.h
@@ -10,7 +10,7 @@
 
 enum class ConnectionEnd {
   kRefused,           // the host refused the connection: nothing listens on the port
-  kNotUpInTime,       // not connected within the configured connect timeout
+  kConnectTimeout,    // not connected within the configured connect timeout
   kUnreachable,       // the operating system cannot reach the address
   kNoDescriptor,      // this process had no file descriptor free within the connect timeout
   kResetUnsent,       // reset before the whole call was written
@@ -26,18 +26,18 @@
   kDropped,           // abandoned by this process after that
   kIdleExpired,       // closed by this process: idle for too long
   kAttemptOver,       // closed by this process: idle, and its attempt needs no further call
-  kTooMuch,           // closed by this process: the peer exceeded a bound on its requests or buffers
-  kMadeRoom,          // closed by this process: idle or silent while new connections wait for a place
-  kMoved,             // closed by this process: the peer has a new address
+  kLimitExceeded,     // closed by this process: the peer exceeded a bound on its requests or buffers
+  kEvicted,           // closed by this process: idle or silent while new connections wait for a place
+  kAddressChanged,    // closed by this process: the peer has a new address
   kShutDown,          // this process shuts down
-  kNoIntent,          // never sent: the intent to send it could not be stored
-  kKeyRests,          // never sent: another query in the fleet holds its key and may have run
+  kIntentNotStored,   // never sent: the intent to send it could not be stored
+  kKeyHeld,           // never sent: another query in the fleet holds its key and may have run
   kWithdrawn,         // never sent: its engine drains or is gone, or its client has disconnected
 };
-inline constexpr std::size_t kConnectionEnds = static_cast<std::size_t>(ConnectionEnd::kWithdrawn) + 1;
+inline constexpr std::size_t kConnectionEndCount = static_cast<std::size_t>(ConnectionEnd::kWithdrawn) + 1;
 
 // The names under which the counters are printed: of outcomes, connection ends and denials.
-metrics::Names counter_names();
+metrics::CounterNames counter_names();
 
 const char* name_of(ConnectionEnd end);
 const char* name_of(OutcomeKind kind);
--- a/src/core/effects.h
+++ b/src/core/effects.h
@@ -11,10 +11,10 @@
 namespace orchidgw::core {
 
 // Sends a call to an engine, of any kind. Exactly one CallAnswered or CallEnded follows each.
-struct StartCall {
+struct SendCall {
   CallId call = 0;
   AttemptId attempt = 0;  // connections are shared only by calls of one attempt
-  CallKind kind = CallKind::kNews;
+  CallKind kind = CallKind::kPoll;
   EngineId engine;
   Address address;
   std::string reference;
@@ -27,7 +27,7 @@
   // twice), and how long that key is held once the query is sent.
   QueryId query = 0;
   std::string identity;
-  TimeUs rest = 0;
+  TimeUs key_hold = 0;
   double grant_mb = 0;
   TimeUs stop_at = 0;    // the controller waits for the query's result until then
   TimeUs answer_by = 0;  // without a whole answer by then, the call ends as kSilent
@@ -58,12 +58,12 @@
 struct AnswerFailed {
   ClientId client = 0;
   RequestTag tag = 0;
-  std::string why;        // sent to the client; may be empty
-  bool unusable = false;  // the request was invalid and never accepted
+  std::string why;               // sent to the client; may be empty
+  bool invalid_request = false;  // the request was invalid and never accepted
 };
 
 // A query is over and nothing of it ran: its key is released, so that the client may send it again.
-struct FreeKey {
+struct ReleaseKey {
   QueryId query = 0;
   std::string identity;
 };
@@ -85,7 +85,7 @@
   std::string text;
 };
 
-using SideEffect = std::variant<StartCall, DropCall, WithdrawCall, AnswerServed, AnswerRefused, AnswerFailed,
-                                AnswerRejected, CloseConnection, FreeKey, LogText>;
+using SideEffect = std::variant<SendCall, DropCall, WithdrawCall, AnswerServed, AnswerRefused, AnswerFailed,
+                                AnswerRejected, CloseConnection, ReleaseKey, LogText>;
 
 }  // namespace orchidgw::core
--- a/src/core/events.h
+++ b/src/core/events.h
@@ -35,7 +35,7 @@
   TimeUs time_budget = 0;    // how long the client waits for the answer
   TimeUs cost_estimate = 0;  // estimated CPU time, summed over threads; 0: none
   double memory_mb = 0;      // estimate; 0: none
-  bool repeat = false;       // the client says that it has sent this query before
+  bool is_retry = false;     // the client says that it has sent this query before
 };
 
 struct EnginesChanged {
@@ -48,7 +48,8 @@
   RequestTag tag = 0;
   std::optional<ClientRequest> request;  // nullopt: the request is invalid
   std::string why;                       // if so, what is wrong with it
-  Reason refuse_as = Reason::kNone;  // not kNone: refuse it at once, as its connection accepts no new query
+  Reason refusal_reason =
+      Reason::kNone;  // not kNone: refuse it at once, as its connection accepts no new query
 };
 
 struct RequestAborted {
@@ -61,20 +62,20 @@
 };
 
 // Start a query, ask for its state, fetch a page of its result, change its priority, or stop it.
-enum class CallKind { kStart, kNews, kPage, kPriority, kGiveUp };
+enum class CallKind { kStart, kPoll, kPage, kPriority, kCancel };
 
 // How an engine answered a call.
 struct CallAnswer {
-  // kServed: the query succeeded; its first page is here. kPage: the page that was asked for. kNotYet: the
-  // query still runs. kFull: the engine had no room and did not start it. kOver: its time was over before the
-  // engine started it. kDone: a change of priority or a stop was received.
-  enum class Kind { kServed, kPage, kNotYet, kFull, kOver, kError, kDone };
+  // kServed: the query succeeded; its first page is here. kPage: the page that was asked for. kPending: the
+  // query still runs. kFull: the engine had no room and did not start it. kExpired: its time was over before
+  // the engine started it. kDone: a change of priority or a stop was received.
+  enum class Kind { kServed, kPage, kPending, kFull, kExpired, kError, kDone };
   Kind kind = Kind::kError;
-  PayloadPtr rows;                       // with kServed (page 0) and kPage
-  int pages = 0;                         // with kServed: the number of pages of the result
-  int page = 0;                          // with kPage: the page's number, from 0
-  std::optional<TimeUs> told_cost;       // CPU time that the query took, as the engine reported it
-  std::optional<double> told_memory_mb;  // memory that it needed, likewise
+  PayloadPtr rows;                           // with kServed (page 0) and kPage
+  int pages = 0;                             // with kServed: the number of pages of the result
+  int page = 0;                              // with kPage: the page's number, from 0
+  std::optional<TimeUs> reported_cost;       // CPU time that the query took, as the engine reported it
+  std::optional<double> reported_memory_mb;  // memory that it needed, likewise
 };
 
 struct CallAnswered {
@@ -97,7 +98,7 @@
 };
 
 // An operator set a service level by hand.
-struct LevelSet {
+struct LevelOverridden {
   std::string level;
   TimeUs until = 0;  // when the level is chosen automatically again
 };
@@ -108,12 +109,12 @@
 };
 
 // This controller's share of what its fleet divides, from now on.
-struct FleetShared {
+struct FleetShareChanged {
   FleetShare module;
   limits::FleetLimits limits;
 };
 
 using Event = std::variant<EnginesChanged, CallAnswered, CallEnded, RequestAborted, ClientClosed, TimePassed,
-                           LimitsChanged, LevelSet, FleetShared, ShutdownBegun, RequestArrived>;
+                           LimitsChanged, LevelOverridden, FleetShareChanged, ShutdownBegun, RequestArrived>;
 
 }  // namespace orchidgw::core
--- a/src/core/keys.h
+++ b/src/core/keys.h
@@ -5,14 +5,16 @@
 
 namespace orchidgw::core {
 
-enum class KeyVerdict {
+enum class KeyStatus {
   kNew,
   kMayHaveRun,  // a previous process sent it, and the time for which its key is held is not over
-  kNoRoom       // the intent to send it cannot be stored now: it must not be sent
+  kUnavailable  // the intent to send it cannot be stored now: it must not be sent
 };
 
 // How long the key of a query of that class is held once the query is sent, so that it is not sent again: the
 // class's repeat window, for which engines remember a query, or its deadline where there is no such window.
-inline TimeUs rest_of(const ClassSettings& c) { return c.repeat_window > 0 ? c.repeat_window : c.deadline; }
+inline TimeUs key_hold_of(const ClassSettings& c) {
+  return c.repeat_window > 0 ? c.repeat_window : c.deadline;
+}
 
 }  // namespace orchidgw::core
--- a/src/core/parse_number.h
+++ b/src/core/parse_number.h
@@ -10,7 +10,7 @@
 namespace orchidgw::core {
 
 template <typename Integer>
-std::optional<Integer> parse_whole(std::string_view text, int base = 10) {
+std::optional<Integer> parse_integer(std::string_view text, int base = 10) {
   Integer value = 0;
   const char* last = text.data() + text.size();
   const auto [end, error] = std::from_chars(text.data(), last, value, base);
@@ -19,7 +19,7 @@
 }
 
 // Also nullopt for infinities and NaN.
-inline std::optional<double> parse_finite(std::string_view text) {
+inline std::optional<double> parse_finite_double(std::string_view text) {
   double value = 0;
   const char* last = text.data() + text.size();
   const auto [end, error] = std::from_chars(text.data(), last, value);
--- a/src/core/reducer.cpp
+++ b/src/core/reducer.cpp
@@ -47,7 +47,7 @@
     }
   }
   engine_list_known_ = true;
-  if (levels_.on()) update_level_engines();
+  if (levels_.has_levels()) update_level_engines();
   withdraw_from_leaving_engines();
   module_->on_engines(now_, event.kind, entries, *this);
 }
@@ -133,23 +133,24 @@
   statement_bytes_ += query.request.statement.size();
   references_.insert(query.request.reference);
   open_requests_[{event.client, event.tag}] = id;
-  ++counters_.taken;
+  ++counters_.accepted_queries;
   queries_to_check_.push_back(id);
   if (key_lookup_ && !passes_key_check(id)) return;
   // During a shutdown the time budget ends with the shutdown, and a request that arrives later is refused, so
   // that none is left without an answer.
   query.request.time_budget = std::min(query.request.time_budget, shutdown_answer_by_ - now_);
-  if (query.request.time_budget <= 0) return turn_away(id, Reason::kShutDown, longest_advice());
-  if (event.refuse_as != Reason::kNone) return turn_away(id, event.refuse_as, longest_advice());
+  if (query.request.time_budget <= 0) return refuse_request(id, Reason::kShutDown, longest_retry_after());
+  if (event.refusal_reason != Reason::kNone)
+    return refuse_request(id, event.refusal_reason, longest_retry_after());
   const ClientRequest& r = query.request;
-  if (levels_.on()) {
-    levels_.meters()->taken(now_, r.class_name, r.tenant);
+  if (levels_.has_levels()) {
+    levels_.meters()->query_arrived(now_, r.class_name, r.tenant);
     query.deadline = now_ + r.time_budget;
-    if (levels_.sheds(to_shed_query(query)) != nullptr) return shed(id);
+    if (levels_.shedding_level(to_shed_query(query)) != nullptr) return shed(id);
   }
   const limits::Verdict verdict =
       limiter_.admit(now_, {id, class_index, r.tenant, use.table, !r.idempotency_key.empty(), r.time_budget});
-  query.deadline = now_ + limiter_.time_for(id, r.time_budget);
+  query.deadline = now_ + limiter_.effective_timeout(id, r.time_budget);
   set_final_answer_timer(id, now_ + r.time_budget + bounds_.final_answer_grace);
   apply_verdict(id, verdict);
 }
@@ -173,13 +174,13 @@
   const std::string identity = identity_of(queries_.at(id));
   if (identity.empty()) return true;
   switch (key_lookup_(identity)) {
-    case KeyVerdict::kNew:
+    case KeyStatus::kNew:
       return true;
-    case KeyVerdict::kMayHaveRun:
+    case KeyStatus::kMayHaveRun:
       fail_request(id, "it may have run before this controller's start");
       return false;
-    case KeyVerdict::kNoRoom:
-      turn_away(id, Reason::kNoIntent, longest_advice());
+    case KeyStatus::kUnavailable:
+      refuse_request(id, Reason::kIntentNotStored, longest_retry_after());
       return false;
   }
   return true;
@@ -187,19 +188,19 @@
 
 // The start was not sent, and a further attempt would not be sent either, so the client is answered at once.
 // If another controller holds the key, or an earlier attempt of this query may have run, the request is
-// failed and not refused, since the query may have run. The attempt's outcome is kMoot: an engine must not be
-// judged faulty because of the fleet's keepers or a local disk.
+// failed and not refused, since the query may have run. The attempt's outcome is kNotSent: an engine must not
+// be judged faulty because of the fleet's keepers or a local disk.
 void Reducer::handle_blocked_start(QueryId id, std::size_t attempt_index, ConnectionEnd end) {
-  conclude(id, attempt_index, OutcomeKind::kMoot);
+  conclude(id, attempt_index, OutcomeKind::kNotSent);
   const auto& attempts = queries_.at(id).attempts;
   const bool may_have_run = std::any_of(attempts.begin(), attempts.end(),
                                         [](const AttemptState& attempt) { return attempt.may_have_run; });
-  if (end == ConnectionEnd::kKeyRests) {
+  if (end == ConnectionEnd::kKeyHeld) {
     fail_request(id, "it may have run by another controller");
   } else if (may_have_run) {
     fail_request(id, "another attempt may have run");
   } else {
-    turn_away(id, Reason::kNoIntent, longest_advice());
+    refuse_request(id, Reason::kIntentNotStored, longest_retry_after());
   }
   module_->on_client_gone(now_, id, *this);
 }
@@ -213,19 +214,19 @@
     if (attempt.may_have_run) return;
     sent = sent || attempt.adapter_id > 0;
   }
-  if (sent && !identity.empty()) emit(FreeKey{id, identity});
+  if (sent && !identity.empty()) emit(ReleaseKey{id, identity});
 }
 
 // Carries out the limiter's verdict on a new query, or on one whose wait is over.
 void Reducer::apply_verdict(QueryId id, const limits::Verdict& verdict) {
   switch (verdict.kind) {
-    case limits::Verdict::Kind::kLetIn:
+    case limits::Verdict::Kind::kAdmit:
       return pass_to_module(id);
     case limits::Verdict::Kind::kWait:
       if (trace_enabled_) trace_answered(id, "waits", queries_.at(id));
       return;
     case limits::Verdict::Kind::kRefuse:  // never sent, so a refusal is always safe
-      return turn_away(id, verdict.reason, verdict.retry_after);
+      return refuse_request(id, verdict.reason, verdict.retry_after);
   }
 }
 
@@ -240,16 +241,17 @@
   module_query.time_budget = query.deadline - now_;
   module_query.memory_mb = query.request.memory_mb;
   module_query.cost_estimate = query.request.cost_estimate;
-  module_query.repeat = query.request.repeat;
+  module_query.is_retry = query.request.is_retry;
   module_query.waited = now_ - query.accepted_at;
-  module_query.limits = levels_.over(limiter_.pass_of(id), query.request.tenant, query.accepted_at);
+  module_query.limits =
+      levels_.wrap_query_limits(limiter_.query_limits(id), query.request.tenant, query.accepted_at);
   if (trace_enabled_) trace_accepted(module_query, query);
   module_->on_query(now_, module_query, *this);
 }
 
 // Admits or answers the queries one at a time: capacity that one frees may go to the next.
 void Reducer::release_waiting_queries() {
-  while (const auto release = limiter_.next_release(now_)) {
+  while (const auto release = limiter_.next_ended_wait(now_)) {
     queries_to_check_.push_back(release->id);
     apply_verdict(release->id, release->verdict);
     deliver_pending_outcomes();
@@ -258,20 +260,20 @@
 }
 
 void Reducer::on(LimitsChanged& event) {
-  levels_.put_in_force(now_, std::move(event.levels));
-  if (event.set) limiter_.put_in_force(now_, std::move(event.set));
+  levels_.activate(now_, std::move(event.levels));
+  if (event.set) limiter_.activate(now_, std::move(event.set));
   limiter_.set_scale(now_, levels_.limits_scale());
-  if (levels_.on()) update_level_engines();
-  if (!levels_.on() || sample_timer_set_) return;
+  if (levels_.has_levels()) update_level_engines();
+  if (!levels_.has_levels() || sample_timer_set_) return;
   sample_timer_set_ = true;
-  schedule_timer(TimerKind::kLevelSample, now_ + service_level::kSampleEvery, 0, 0);
+  schedule_timer(TimerKind::kLevelSample, now_ + service_level::kSampleInterval, 0, 0);
 }
 
-void Reducer::on(LevelSet& event) { levels_.set_by_hand(event.level, event.until); }
+void Reducer::on(LevelOverridden& event) { levels_.override_level(event.level, event.until); }
 
-void Reducer::on(FleetShared& event) {
+void Reducer::on(FleetShareChanged& event) {
   ++counters_.fleet_shares;
-  limiter_.set_fleet(now_, std::move(event.limits));
+  limiter_.set_fleet_limits(now_, std::move(event.limits));
   module_->on_share(now_, event.module, *this);
 }
 
@@ -297,7 +299,7 @@
   while (auto timer = timers_.pop_due(now_)) due.push_back(*timer);
   for (const auto& [at, timer] : due) {
     if (timer.kind == TimerKind::kModule) {
-      counters_.timers.add(now_ - at);
+      counters_.timer_lateness.add(now_ - at);
       module_->on_timer(now_, timer.token, *this);
     } else if (timer.kind == TimerKind::kLevelSample) {
       sample_signals(at);
@@ -329,13 +331,13 @@
   attempt.sent_at = now_;
   attempt.stop_at = stop_at <= 0 ? query->deadline : std::min(stop_at, query->deadline);
   const auto it = engines_.find(engine);
-  if (query->ended) return conclude(id, attempt_index, OutcomeKind::kMoot);
+  if (query->ended) return conclude(id, attempt_index, OutcomeKind::kNotSent);
   if (it == engines_.end()) return conclude(id, attempt_index, OutcomeKind::kConnectFailed);
   attempt.zone = it->second.entry.zone;
   attempt.cell = it->second.entry.cell;
   if (const Denial denial = start_denied(*query, attempt_index, now_); denial != Denial::kNone) {
     record_violation(denial, *query);
-    return conclude(id, attempt_index, OutcomeKind::kMoot);
+    return conclude(id, attempt_index, OutcomeKind::kNotSent);
   }
   ++counters_.sent;
   limiter_.attempt_sent(now_, id);
@@ -392,11 +394,12 @@
 }
 
 void Reducer::refuse(QueryId id, TimeUs retry_after) {
-  const Reason forbidden = limiter_.forbidden(id);
-  turn_away(id, forbidden == Reason::kNone ? Reason::kDecision : forbidden, retry_after);
+  const Reason retry_denial_reason = limiter_.retry_denial_reason(id);
+  refuse_request(id, retry_denial_reason == Reason::kNone ? Reason::kDecision : retry_denial_reason,
+                 retry_after);
 }
 
-void Reducer::turn_away(QueryId id, Reason reason, TimeUs retry_after) {
+void Reducer::refuse_request(QueryId id, Reason reason, TimeUs retry_after) {
   QueryState* query = find_query(id);
   if (query == nullptr || query->ended) return;
   if (!may_refuse(*query)) {
@@ -405,8 +408,8 @@
   }
   ++counters_.refused;
   ++counters_.refusals[static_cast<std::size_t>(reason)];
-  if (levels_.on() && reason != Reason::kShed)
-    levels_.meters()->refused(now_, query->request.class_name, query->request.tenant);
+  if (levels_.has_levels() && reason != Reason::kShed)
+    levels_.meters()->query_refused(now_, query->request.class_name, query->request.tenant);
   if (trace_enabled_) trace_answered(id, name_of(reason), *query);
   emit(AnswerRefused{query->client, query->tag, retry_after});
   end_request(*query);
@@ -432,10 +435,10 @@
   give_up(id, static_cast<std::size_t>(attempt), OutcomeKind::kCancelled);
 }
 
-void Reducer::set_terms(QueryId id, int priority, double grant_mb) {
+void Reducer::set_priority_and_grant(QueryId id, int priority, double grant_mb) {
   QueryState* query = find_query(id);
   if (query == nullptr) return;
-  const service_level::Combined level = levels_.effects_for(query->request.tenant);
+  const service_level::CombinedEffects level = levels_.effects_for(query->request.tenant);
   const int shifted = std::clamp(priority + level.priority, 0, 3);
   const bool changed = query->priority != shifted;
   query->priority = shifted;
@@ -454,7 +457,7 @@
 
 void Reducer::fetch_list() {}
 
-void Reducer::tell_all(const std::string&) {
+void Reducer::broadcast_to_peers(const std::string&) {
   emit(LogText{log::Level::kDebug, "message to peers ignored: controllers can't exchange messages"});
 }
 
--- a/src/core/reducer.h
+++ b/src/core/reducer.h
@@ -48,8 +48,8 @@
 
   // Looks up whether a query that must not run twice may be accepted; called before each such query is
   // accepted. Without a lookup no such check is made, and starts carry no identity to be stored or held.
-  using KeyLookup = std::function<KeyVerdict(const std::string& identity)>;
-  void set_keys(KeyLookup lookup) { key_lookup_ = std::move(lookup); }
+  using KeyLookup = std::function<KeyStatus(const std::string& identity)>;
+  void set_key_lookup(KeyLookup lookup) { key_lookup_ = std::move(lookup); }
 
   // Processes one event. The caller carries out the returned effects in their order. `now` is in
   // microseconds; a time before that of an earlier event counts as the earlier one's.
@@ -69,7 +69,7 @@
   // Number of requests without a final answer; a query may outlive its request.
   std::size_t open_requests() const { return open_requests_.size(); }
   std::size_t open_requests_of(ClientId client) const;
-  std::size_t held_bytes() const { return statement_bytes_; }  // total size of all queries' statements
+  std::size_t statement_bytes() const { return statement_bytes_; }  // total size of all queries' statements
   // Numbers of queries, of calls that have not ended, and of listed engines.
   std::size_t queries() const { return queries_.size(); }
   std::size_t calls() const { return calls_.size(); }
@@ -98,8 +98,8 @@
     int failed_calls = 0;       // in a row
     int page_count = 0;         // of the result, once it is known
     std::vector<PayloadPtr> result_pages;  // those received so far, in order
-    std::optional<TimeUs> told_cost;       // as the engine reported them
-    std::optional<double> told_memory_mb;
+    std::optional<TimeUs> reported_cost;   // as the engine reported them
+    std::optional<double> reported_memory_mb;
     OutcomeKind give_up_outcome = OutcomeKind::kCancelled;  // reported once giving up is done
     bool may_have_run = true;                               // valid once the attempt is over
     bool unsent = false;  // valid once the attempt is over: no byte of it was sent
@@ -123,7 +123,7 @@
   struct CallOwner {
     QueryId query = 0;
     std::size_t attempt_index = 0;
-    CallKind kind = CallKind::kNews;
+    CallKind kind = CallKind::kPoll;
   };
 
   enum class TimerKind { kModule, kAttemptStop, kEngineRetention, kLevelSample, kOverdue, kShutDown };
@@ -138,7 +138,7 @@
   struct PendingOutcome {
     QueryId query = 0;
     std::size_t attempt_index = 0;
-    OutcomeKind kind = OutcomeKind::kMoot;
+    OutcomeKind kind = OutcomeKind::kNotSent;
   };
 
   using RequestKey = std::pair<ClientId, RequestTag>;
@@ -153,8 +153,8 @@
   void on(CallEnded& event);
   void on(TimePassed& event);
   void on(LimitsChanged& event);
-  void on(LevelSet& event);
-  void on(FleetShared& event);
+  void on(LevelOverridden& event);
+  void on(FleetShareChanged& event);
   void on(ShutdownBegun& event);
 
   // Why a request of that class can't be accepted; empty if it can.
@@ -164,12 +164,12 @@
   void pass_to_module(QueryId id);
   // Refuses the request, which tells the client that a retry is harmless. If an attempt may have run, records
   // a violation and fails the request instead. Does nothing for a request that has its answer.
-  void turn_away(QueryId id, Reason reason, TimeUs retry_after);
+  void refuse_request(QueryId id, Reason reason, TimeUs retry_after);
   const ClassSettings& class_of(const QueryState& query) const {
     return settings_.classes[static_cast<std::size_t>(query.class_index)];
   }
   // The longest retry_after that a refusal may carry; 0: refusals carry none.
-  TimeUs longest_advice() const {
+  TimeUs longest_retry_after() const {
     return settings_.limits.retry_after ? settings_.limits.max_retry_after : 0;
   }
   // Returns false if the query may have run before or its intent can't be stored; it has its answer then.
@@ -181,14 +181,14 @@
   // Fails the request with `why` as the text for the client. Does nothing for a request that has its answer.
   void fail_request(QueryId id, const std::string& why);
   void release_waiting_queries();
-  service_level::ShedQuery to_shed_query(const QueryState& query) const;
+  service_level::ShedCandidate to_shed_query(const QueryState& query) const;
   // Samples the service levels' signals and applies level changes; `due`: when the sample was due.
   void sample_signals(TimeUs due);
   void shed(QueryId id);
   void shed_unsent_queries();
   void update_level_engines();
   void record_answer(const QueryState& query, bool late);
-  void leave(const RequestKey& key);
+  void abandon_request(const RequestKey& key);
   void withdraw_from_leaving_engines();
   // Withdraws the attempt's start if that call is open; a start whose first byte was sent goes on.
   void withdraw_unsent_start(const AttemptState& attempt);
@@ -231,11 +231,11 @@
   void refuse(QueryId query, TimeUs retry_after) override;
   void fail(QueryId query) override;
   void cancel(QueryId query, int attempt) override;
-  void set_terms(QueryId query, int priority, double grant_mb) override;
+  void set_priority_and_grant(QueryId query, int priority, double grant_mb) override;
   void probe(const EngineId& engine) override;
   void subscribe() override;
   void fetch_list() override;
-  void tell_all(const std::string& bytes) override;
+  void broadcast_to_peers(const std::string& bytes) override;
   void set_timer(TimeUs delay, std::uint64_t token) override;
   void log(const std::string& text) override;
 
--- a/src/core/reducer_attempts.cpp
+++ b/src/core/reducer_attempts.cpp
@@ -11,19 +11,19 @@
 void Reducer::send_call(QueryId id, std::size_t attempt_index, CallKind kind) {
   const QueryState& query = queries_.at(id);
   AttemptState& attempt = attempt_at(id, attempt_index);
-  StartCall effect;
+  SendCall effect;
   effect.call = ++last_call_;
   effect.attempt = attempt.adapter_id;
   effect.kind = kind;
   effect.engine = attempt.engine;
   effect.address = attempt.address;
   effect.reference = query.request.reference;
-  const bool may_be_held = kind == CallKind::kStart || kind == CallKind::kNews;
+  const bool may_be_held = kind == CallKind::kStart || kind == CallKind::kPoll;
   effect.answer_by = now_ + bounds_.answer_grace + (may_be_held ? bounds_.poll_hold : 0);
   effect.priority = query.priority;
   // A duplicate of the previous answer can arrive some milliseconds late on the attempt's connection. Read as
   // the answer to this call, it would end the attempt while the engine still runs the query.
-  if (kind == CallKind::kGiveUp && attempt.adapter_id > 0) emit(CloseConnection{attempt.adapter_id});
+  if (kind == CallKind::kCancel && attempt.adapter_id > 0) emit(CloseConnection{attempt.adapter_id});
   if (kind == CallKind::kPage) effect.page = static_cast<int>(attempt.result_pages.size());
   if (kind == CallKind::kStart) {
     effect.class_name = query.request.class_name;
@@ -34,7 +34,7 @@
       const ClassSettings& query_class = class_of(query);
       effect.query = id;
       effect.identity = identity_of(query);
-      effect.rest = rest_of(query_class);
+      effect.key_hold = key_hold_of(query_class);
     }
     effect.stop_at = attempt.stop_at;
   }
@@ -75,11 +75,11 @@
   attempt.may_have_started = attempt.may_have_started || may_have_arrived(event.end);
   if (trace_enabled_) trace_call_ended(*owner, event.end);
   if (attempt.phase == Phase::kConcluded) return;
-  if (event.end == ConnectionEnd::kKeyRests || event.end == ConnectionEnd::kNoIntent)
+  if (event.end == ConnectionEnd::kKeyHeld || event.end == ConnectionEnd::kIntentNotStored)
     return handle_blocked_start(owner->query, owner->attempt_index, event.end);
   if (attempt.phase != Phase::kGivingUp)
     return handle_failed_call(owner->query, owner->attempt_index, event.end);
-  if (attempt.call_kind == CallKind::kGiveUp)
+  if (attempt.call_kind == CallKind::kCancel)
     return handle_failed_cancel(owner->query, owner->attempt_index, event.end);
   handle_dropped_call_end(owner->query, owner->attempt_index, event.end);
 }
@@ -88,19 +88,19 @@
   AttemptState& attempt = attempt_at(id, attempt_index);
   if (attempt.phase == Phase::kConcluded) return;
   attempt.last_answer_at = now_;
-  if (attempt.call_kind == CallKind::kGiveUp) {  // any answer means that the engine got the call
+  if (attempt.call_kind == CallKind::kCancel) {  // any answer means that the engine got the call
     return conclude(id, attempt_index, attempt.give_up_outcome);
   }
   if (attempt.call_kind == CallKind::kPage) return handle_page(id, attempt_index, answer);
   switch (answer.kind) {
-    case CallAnswer::Kind::kNotYet:
+    case CallAnswer::Kind::kPending:
       attempt.failed_calls = 0;
-      if (attempt.phase == Phase::kGivingUp) return send_call(id, attempt_index, CallKind::kGiveUp);
-      return send_call(id, attempt_index, CallKind::kNews);
+      if (attempt.phase == Phase::kGivingUp) return send_call(id, attempt_index, CallKind::kCancel);
+      return send_call(id, attempt_index, CallKind::kPoll);
     case CallAnswer::Kind::kServed:
       return handle_result(id, attempt_index, answer);
     case CallAnswer::Kind::kFull:
-    case CallAnswer::Kind::kOver:
+    case CallAnswer::Kind::kExpired:
       return conclude(id, attempt_index, OutcomeKind::kFull);
     case CallAnswer::Kind::kError:
     case CallAnswer::Kind::kPage:
@@ -111,8 +111,8 @@
 
 void Reducer::handle_result(QueryId id, std::size_t attempt_index, CallAnswer& answer) {
   AttemptState& attempt = attempt_at(id, attempt_index);
-  attempt.told_cost = answer.told_cost;
-  attempt.told_memory_mb = answer.told_memory_mb;
+  attempt.reported_cost = answer.reported_cost;
+  attempt.reported_memory_mb = answer.reported_memory_mb;
   attempt.page_count = answer.pages;
   attempt.phase = Phase::kPaging;
   attempt.failed_calls = 0;
@@ -159,7 +159,7 @@
   const bool may_be_there =
       attempt.phase == Phase::kPaging || now_ - attempt.last_answer_at < bounds_.engine_retention;
   if (!may_be_there) return give_up(id, attempt_index, outcome);
-  retry_call(id, attempt_index, attempt.phase == Phase::kPaging ? CallKind::kPage : CallKind::kNews, outcome);
+  retry_call(id, attempt_index, attempt.phase == Phase::kPaging ? CallKind::kPage : CallKind::kPoll, outcome);
 }
 
 // Gives the attempt up once too many calls in a row failed. For an attempt that is already being given up no
@@ -188,14 +188,14 @@
   if (now_ >= queries_.at(id).deadline) queue_outcome(id, attempt_index, as);
   schedule_timer(TimerKind::kEngineRetention, now_ + bounds_.engine_retention + bounds_.poll_hold, id,
                  attempt_index);
-  if (attempt.open_call == 0) send_call(id, attempt_index, CallKind::kGiveUp);
+  if (attempt.open_call == 0) send_call(id, attempt_index, CallKind::kCancel);
 }
 
 // The dropped call has ended. The engine is told to stop, unless it cannot have the query.
 void Reducer::handle_dropped_call_end(QueryId id, std::size_t attempt_index, ConnectionEnd end) {
   AttemptState& attempt = attempt_at(id, attempt_index);
   if (attempt.may_have_started && end != ConnectionEnd::kRefused)
-    return send_call(id, attempt_index, CallKind::kGiveUp);
+    return send_call(id, attempt_index, CallKind::kCancel);
   conclude(id, attempt_index, attempt.give_up_outcome);
 }
 
@@ -206,7 +206,7 @@
                             end == ConnectionEnd::kResetMidAnswer;
   if (answer_began || end == ConnectionEnd::kRefused)
     return conclude(id, attempt_index, attempt.give_up_outcome);
-  retry_call(id, attempt_index, CallKind::kGiveUp, attempt.give_up_outcome);
+  retry_call(id, attempt_index, CallKind::kCancel, attempt.give_up_outcome);
 }
 
 void Reducer::handle_stop_timer(QueryId id, std::size_t attempt_index) {
@@ -240,7 +240,7 @@
   if (query == nullptr || query->ended) return;
   const bool with_module = query->admitted;
   if (may_refuse(*query)) {
-    turn_away(id, Reason::kShutDown, longest_advice());
+    refuse_request(id, Reason::kShutDown, longest_retry_after());
   } else {
     fail_request(id, "the gateway shuts down");
   }
@@ -289,19 +289,19 @@
   outcome.kind = pending.kind;
   outcome.latency = now_ - attempt.sent_at;
   outcome.ended = query.ended || pending.kind == OutcomeKind::kOk;
-  if (pending.kind == OutcomeKind::kOk && settings_.tells_cost) {
-    outcome.told_cost = attempt.told_cost;
-    outcome.told_memory_mb = attempt.told_memory_mb;
+  if (pending.kind == OutcomeKind::kOk && settings_.engines_report_cost) {
+    outcome.reported_cost = attempt.reported_cost;
+    outcome.reported_memory_mb = attempt.reported_memory_mb;
   }
   const ClassSettings& query_class = class_of(query);
   const TimeUs expected = query.request.cost_estimate / query_class.threads;
-  if (pending.kind == OutcomeKind::kOk && expected > 0 && levels_.on() && !query_class.load)
-    levels_.meters()->attempt(now_, attempt.engine,
-                              static_cast<double>(outcome.latency) / static_cast<double>(expected));
+  if (pending.kind == OutcomeKind::kOk && expected > 0 && levels_.has_levels() && !query_class.load)
+    levels_.meters()->attempt_succeeded(now_, attempt.engine,
+                                        static_cast<double>(outcome.latency) / static_cast<double>(expected));
   if (pending.kind == OutcomeKind::kOk && !query.ended) {
-    const double aim =
-        static_cast<double>(query_class.aim) + query_class.aim_stretch * static_cast<double>(expected);
-    record_answer(query, static_cast<double>(now_ - query.accepted_at) > aim);
+    const double latency_target = static_cast<double>(query_class.latency_target) +
+                                  query_class.latency_target_runtime_factor * static_cast<double>(expected);
+    record_answer(query, static_cast<double>(now_ - query.accepted_at) > latency_target);
     ++counters_.served;
     if (trace_enabled_) trace_answered(pending.query, "served", query);
     emit(AnswerServed{query.client, query.tag, std::move(attempt.result_pages)});
@@ -319,11 +319,11 @@
     const auto it = queries_.find(id);
     if (it == queries_.end() || !it->second.ended) continue;
     const auto& attempts = it->second.attempts;
-    const bool over = std::all_of(attempts.begin(), attempts.end(), [](const AttemptState& attempt) {
+    const bool query_ended = std::all_of(attempts.begin(), attempts.end(), [](const AttemptState& attempt) {
       return attempt.phase == Phase::kConcluded && attempt.outcome_reported;
     });
-    if (!over) continue;
-    limiter_.over(now_, id);
+    if (!query_ended) continue;
+    limiter_.query_ended(now_, id);
     if (key_lookup_) release_key(id, it->second);
     statement_bytes_ -= it->second.request.statement.size();
     references_.erase(it->second.request.reference);
--- a/src/core/reducer_levels.cpp
+++ b/src/core/reducer_levels.cpp
@@ -13,27 +13,27 @@
 
 }  // namespace
 
-service_level::ShedQuery Reducer::to_shed_query(const QueryState& query) const {
+service_level::ShedCandidate Reducer::to_shed_query(const QueryState& query) const {
   const ClientRequest& request = query.request;
   const bool keyed = !request.idempotency_key.empty();
   return {request.class_name, request.tenant, keyed ? request.idempotency_key : request.statement,
-          keyed && request.repeat};
+          keyed && request.is_retry};
 }
 
 void Reducer::sample_signals(TimeUs due) {
-  sample_timer_set_ = levels_.on();
-  if (!levels_.on()) return;
-  schedule_timer(TimerKind::kLevelSample, now_ + service_level::kSampleEvery, 0, 0);
+  sample_timer_set_ = levels_.has_levels();
+  if (!levels_.has_levels()) return;
+  schedule_timer(TimerKind::kLevelSample, now_ + service_level::kSampleInterval, 0, 0);
   service_level::Readings readings;
   readings.loop_lag = now_ - due;
   readings.buffers = buffers_used_;
   for (const auto& [id, query] : queries_) {
     if (query.ended || !query.attempts.empty()) continue;
-    ++readings.line;
-    readings.line_age = std::max(readings.line_age, now_ - query.accepted_at);
+    ++readings.queue_length;
+    readings.queue_age = std::max(readings.queue_age, now_ - query.accepted_at);
   }
   bool moved = false;
-  for (const service_level::Change& change : levels_.sample(now_, readings)) {
+  for (const service_level::LadderEvent& change : levels_.sample(now_, readings)) {
     std::ostringstream line;
     line << "service level " << change.from;
     if (!change.trial) line << " -> " << change.to;
@@ -48,7 +48,8 @@
 
 // The refusal carries a retry_after time only where the settings allow it.
 void Reducer::shed(QueryId id) {
-  turn_away(id, Reason::kShed, levels_.come_back_in(to_shed_query(queries_.at(id)), longest_advice()));
+  refuse_request(id, Reason::kShed,
+                 levels_.retry_after(to_shed_query(queries_.at(id)), longest_retry_after()));
 }
 
 // Applies a level change to waiting queries too: what the new level sheds is refused at once. None of these
@@ -56,7 +57,7 @@
 void Reducer::shed_unsent_queries() {
   std::vector<QueryId> unsent_queries;
   for (const auto& [id, query] : queries_)
-    if (!query.ended && query.attempts.empty() && levels_.sheds(to_shed_query(query)) != nullptr)
+    if (!query.ended && query.attempts.empty() && levels_.shedding_level(to_shed_query(query)) != nullptr)
       unsent_queries.push_back(id);
   std::sort(unsent_queries.begin(), unsent_queries.end());
   for (const QueryId id : unsent_queries) {
@@ -75,24 +76,25 @@
     listed.push_back(id);
     in_service += listing.entry.state == EngineState::kInService ? 1 : 0;
   }
-  levels_.meters()->engines(listed, in_service);
+  levels_.meters()->set_engines(listed, in_service);
 }
 
 void Reducer::record_answer(const QueryState& query, bool late) {
-  if (levels_.on()) levels_.meters()->answered(now_, query.request.class_name, query.request.tenant, late);
+  if (levels_.has_levels())
+    levels_.meters()->query_answered(now_, query.request.class_name, query.request.tenant, late);
 }
 
-void Reducer::on(RequestAborted& event) { leave({event.client, event.tag}); }
+void Reducer::on(RequestAborted& event) { abandon_request({event.client, event.tag}); }
 
 void Reducer::on(ClientClosed& event) {
   std::vector<RequestKey> keys;
   const auto [first, last] = open_request_range(event.client);
   for (auto it = first; it != last; ++it) keys.push_back(it->first);
-  for (const RequestKey& key : keys) leave(key);
+  for (const RequestKey& key : keys) abandon_request(key);
 }
 
 // Closes a request that its client aborted, or whose client disconnected: no answer is owed.
-void Reducer::leave(const RequestKey& key) {
+void Reducer::abandon_request(const RequestKey& key) {
   const auto it = open_requests_.find(key);
   if (it == open_requests_.end()) return;
   const QueryId id = it->second;
--- a/src/core/reducer_trace.cpp
+++ b/src/core/reducer_trace.cpp
@@ -26,7 +26,7 @@
   std::ostringstream line;
   line << "ended " << outcome.query << '.' << outcome.attempt << " on " << outcome.engine << ' '
        << name_of(outcome.kind) << " after_us " << outcome.latency << " class " << query.request.class_name;
-  if (outcome.told_cost) line << " told_us " << *outcome.told_cost;
+  if (outcome.reported_cost) line << " told_us " << *outcome.reported_cost;
   emit(LogText{log::Level::kDebug, line.str()});
 }
 
--- a/src/decision/decision.h
+++ b/src/decision/decision.h
@@ -24,33 +24,33 @@
 enum class RepeatScope { kAll, kZone, kCell };
 // What an engine does with a query for which it lacks memory: queues it, runs it with a smaller grant, or
 // admits it and slows all its queries down by paging.
-enum class WhenShort { kWait, kShrink, kPage };
+enum class MemoryShortagePolicy { kWait, kReduceGrant, kOvercommit };
 enum class EngineState { kInService, kDraining, kGone };
 // How an engine list relates to the one before: only the entries that changed, a complete list, the complete
 // list that was stored and is read at the start, or no list because fetching it failed.
 enum class ListKind { kDelta, kFull, kStored, kError };
-// How an attempt ended. kFull: the engine rejected it without running it, for want of capacity. kMoot: it was
-// given up before anything of it was sent, for a reason other than a failed connect.
-enum class OutcomeKind { kOk, kError, kFull, kTimeout, kConnectFailed, kReset, kCancelled, kMoot };
+// How an attempt ended. kFull: the engine rejected it without running it, for want of capacity. kNotSent: it
+// was given up before anything of it was sent, for a reason other than a failed connect.
+enum class OutcomeKind { kOk, kError, kFull, kTimeout, kConnectFailed, kReset, kCancelled, kNotSent };
 // What an engine reports of a running attempt: its progress, that it needs more memory than it was granted,
 // or that it waits.
 enum class NoteKind { kProgress, kSpill, kWait };
 
 struct ClassSettings {
   std::string name;
-  // The latency target of a query, within which an answer has its full value: `aim` plus `aim_stretch` times
-  // the expected run time.
-  TimeUs aim = 0;
-  double aim_stretch = 0;
+  // The latency target of a query, within which an answer has its full value: `aim` plus
+  // `latency_target_runtime_factor` times the expected run time.
+  TimeUs latency_target = 0;
+  double latency_target_runtime_factor = 0;
   TimeUs deadline = 0;  // the longest time budget of a query
   Effect effect = Effect::kAtMostOnce;
   RepeatScope repeat_scope = RepeatScope::kAll;
   // Engines recognise a repeat for so long after the earlier attempt was sent.
   TimeUs repeat_window = 0;
-  double value = 1;       // of a query answered in time, relative to other classes
-  double late_worth = 0;  // part of `value` that an answer after the target still has
+  double value = 1;             // of a query answered in time, relative to other classes
+  double late_value_share = 0;  // part of `value` that an answer after the target still has
   // Queries of one key run one after another (rule 5). make_workload_budget() rejects it.
-  bool in_order = false;
+  bool serial_by_key = false;
   bool streaming = false;
   std::optional<std::vector<std::string>> zones;  // the only zones allowed, if given
   std::optional<std::vector<std::string>> kinds;  // the only machine kinds allowed, if given
@@ -74,7 +74,7 @@
 };
 
 // What the deployment permits the module to do.
-struct Limits {
+struct PolicyLimits {
   bool cancel = false;         // attempts may be cancelled
   bool probes = false;         // engines may be probed
   bool peers = false;          // gateways may send each other messages
@@ -84,7 +84,7 @@
   int max_attempts = 1;  // per query
   // Attempts that were never sent count too. So in the simulator, whose wire counts each send; engines see
   // nothing of them.
-  bool unsent_attempts_count = false;
+  bool count_unsent_attempts = false;
 };
 
 // Rules that the deployment sets for all gateways; their numbers are those of docs/design.md.
@@ -92,20 +92,21 @@
   TimeUs answer_slack = 0;
   TimeUs drain_grace = 0;  // rule 3: so long after an engine began to drain, nothing may be sent to it
   TimeUs ask_within = 0;
-  // Slow start (rule 4): an engine's capacity grows linearly from the part `cold_from` when it starts to all
-  // of it after `cold_for`. Until then all gateways together may send it, in any `fall_window`, at most
-  // `fall_multiple` times the work that its capacity at the time does in that window.
-  double cold_from = 1;
-  TimeUs cold_for = 0;
-  double fall_multiple = 0;  // 0: no such rule
-  TimeUs fall_window = 0;
-  TimeUs key_rest = 0;
-  // Retry budget (rule 7): in any `extra_window`, attempts beyond each query's first number at most
-  // `extra_free` plus the part `extra_share` of the queries accepted.
-  bool attempts_rationed = false;
-  double extra_free = 0;
-  double extra_share = 0;
-  TimeUs extra_window = 0;
+  // Slow start (rule 4): an engine's capacity grows linearly from the part `slow_start_initial_capacity` when
+  // it starts to all of it after `slow_start_duration`. Until then all gateways together may send it, in any
+  // `overload_window`, at most `overload_multiple` times the work that its capacity at the time does in that
+  // window.
+  double slow_start_initial_capacity = 1;
+  TimeUs slow_start_duration = 0;
+  double overload_multiple = 0;  // 0: no such rule
+  TimeUs overload_window = 0;
+  TimeUs key_quiet_period = 0;
+  // Retry budget (rule 7): in any `retry_budget_window`, attempts beyond each query's first number at most
+  // `retry_budget_floor` plus the part `retry_budget_share` of the queries accepted.
+  bool has_retry_budget = false;
+  double retry_budget_floor = 0;
+  double retry_budget_share = 0;
+  TimeUs retry_budget_window = 0;
 };
 
 struct Settings {
@@ -115,16 +116,16 @@
   std::vector<ClassSettings> classes;
   std::vector<KindSettings> kinds;
   std::vector<TenantSettings> tenants;
-  Limits limits;
+  PolicyLimits limits;
   Rules rules;
-  bool must_ask_discovery = false;  // the engine list comes only after ActionSink::subscribe()
-  bool grants = false;              // engines keep to the memory grant of a query
-  bool priorities = false;          // engines schedule by the priority of a query
-  bool tells_cost = false;          // engines report the cost of a query with its answer
-  double max_grant_share = 1;       // of an engine's memory: the largest grant to one query
-  WhenShort when_short = WhenShort::kWait;
+  bool must_subscribe = false;       // the engine list comes only after ActionSink::subscribe()
+  bool grants = false;               // engines keep to the memory grant of a query
+  bool priorities = false;           // engines schedule by the priority of a query
+  bool engines_report_cost = false;  // engines report the cost of a query with its answer
+  double max_grant_share = 1;        // of an engine's memory: the largest grant to one query
+  MemoryShortagePolicy memory_shortage_policy = MemoryShortagePolicy::kWait;
   TimeUs progress_interval = 0;  // between an attempt's notes; 0: engines send none
-  double over_share_worth = 1;   // factor on the value of a tenant's queries beyond its share
+  double over_share_value = 1;   // factor on the value of a tenant's queries beyond its share
 };
 
 struct EngineEntry {
@@ -153,7 +154,7 @@
   virtual TimeUs hold_until(TimeUs last) const = 0;
   // Whether an attempt that was sent at `sent_at` and is in flight should get a second copy now; `sent`
   // attempts so far.
-  virtual bool copy_due(TimeUs now, TimeUs sent_at, int sent) const = 0;
+  virtual bool second_copy_due(TimeUs now, TimeUs sent_at, int sent) const = 0;
 };
 
 struct Query {
@@ -165,7 +166,7 @@
   std::string key;           // empty: none
   double memory_mb = 0;      // estimate; 0: none
   TimeUs cost_estimate = 0;  // CPU time; 0: none
-  bool repeat = false;       // the client says that it sent the query before
+  bool is_retry = false;     // the client says that it sent the query before
   TimeUs waited = 0;         // between its arrival at the gateway and this event; not part of the time budget
   std::shared_ptr<const QueryLimits> limits;  // null: none
 };
@@ -191,10 +192,10 @@
   int attempt = 0;
   EngineId engine;
   OutcomeKind kind = OutcomeKind::kOk;
-  TimeUs latency = 0;                    // since the attempt was sent
-  bool ended = false;                    // the query is finished, by this outcome or before it
-  std::optional<TimeUs> told_cost;       // CPU time that it used, as reported by the engine
-  std::optional<double> told_memory_mb;  // memory that it needed, likewise
+  TimeUs latency = 0;                        // since the attempt was sent
+  bool ended = false;                        // the query is finished, by this outcome or before it
+  std::optional<TimeUs> reported_cost;       // CPU time that it used, as reported by the engine
+  std::optional<double> reported_memory_mb;  // memory that it needed, likewise
   LoadReport report;
 };
 
@@ -224,12 +225,12 @@
   virtual void cancel(QueryId query, int attempt) = 0;
   // For the query's next attempts; a changed priority also reaches those in flight. `priority`: 0 to 3, 1
   // unless set. `grant_mb`: memory that the engine may use for the query; 0: as the engine chooses.
-  virtual void set_terms(QueryId query, int priority, double grant_mb) = 0;
+  virtual void set_priority_and_grant(QueryId query, int priority, double grant_mb) = 0;
   virtual void probe(const EngineId& engine) = 0;
   virtual void subscribe() = 0;   // asks for the engine list and its changes from now on
   virtual void fetch_list() = 0;  // asks for the engine list once
   // Sends `bytes` to all other gateways, where they arrive as on_peer().
-  virtual void tell_all(const std::string& bytes) = 0;
+  virtual void broadcast_to_peers(const std::string& bytes) = 0;
   // Calls on_timer() with `token` after `delay`.
   virtual void set_timer(TimeUs delay, std::uint64_t token) = 0;
   virtual void log(const std::string& text) = 0;
--- a/src/decision/engine_starts.cpp
+++ b/src/decision/engine_starts.cpp
@@ -12,16 +12,19 @@
 constexpr TimeUs kEarliestStart = 1;  // 0 stands for a start a long time back
 
 TimeUs max_trusted_age_for(const Rules& rules) {
-  if (rules.cold_from >= 1) return rules.cold_for;  // no slow start: nothing depends on its age
-  const double slow_start_part = rules.cold_from * (kMaxCapacityError - 1) / (1 - rules.cold_from);
-  return std::min(rules.cold_for, static_cast<TimeUs>(slow_start_part * static_cast<double>(rules.cold_for)));
+  if (rules.slow_start_initial_capacity >= 1)
+    return rules.slow_start_duration;  // no slow start: nothing depends on its age
+  const double slow_start_part =
+      rules.slow_start_initial_capacity * (kMaxCapacityError - 1) / (1 - rules.slow_start_initial_capacity);
+  return std::min(rules.slow_start_duration,
+                  static_cast<TimeUs>(slow_start_part * static_cast<double>(rules.slow_start_duration)));
 }
 
 }  // namespace
 
 EngineStarts::EngineStarts(const Rules& rules) : max_trusted_age_(max_trusted_age_for(rules)) {}
 
-TimeUs EngineStarts::instant_of(const EngineId& engine, WallTime up_since, WallTime wall_now, TimeUs now) {
+TimeUs EngineStarts::start_time_of(const EngineId& engine, WallTime up_since, WallTime wall_now, TimeUs now) {
   const auto known = known_.find(engine);
   if (known != known_.end() && known->second.up_since == up_since) return known->second.started_at;
   const TimeUs age_by_wall_clock = wall_now.unix_us - up_since.unix_us;
--- a/src/decision/engine_starts.h
+++ b/src/decision/engine_starts.h
@@ -19,8 +19,8 @@
   // which is taken as at least 0 and at most `max_trusted_age()`. Never 0, and the same for each call with
   // the same start. So a wrong wall clock neither makes an engine look further through its slow start than
   // the margin in the slow-start allowance covers, nor keeps it in slow start for longer than
-  // `Rules::cold_for` after it was first seen.
-  TimeUs instant_of(const EngineId& engine, WallTime up_since, WallTime wall_now, TimeUs now);
+  // `Rules::slow_start_duration` after it was first seen.
+  TimeUs start_time_of(const EngineId& engine, WallTime up_since, WallTime wall_now, TimeUs now);
   void forget(const EngineId& engine) { known_.erase(engine); }
   // Forgets all engines but those `listed`.
   void keep_only(const std::set<EngineId>& listed);
--- a/src/decision/permission.cpp
+++ b/src/decision/permission.cpp
@@ -25,14 +25,14 @@
 }  // namespace
 
 const char* name_of(Denial denial) {
-  constexpr std::array<const char*, kDenials> kNames = {
+  constexpr std::array<const char*, kDenialCount> kNames = {
       "none",        "query_over",   "out_of_time",   "engine_leaving", "too_many_attempts",
       "attempt_out", "may_have_run", "outside_scope", "window_over",    "answer_owed"};
   return kNames[static_cast<std::size_t>(denial)];
 }
 
-bool attempts_left(const Limits& limits, AttemptCounts made) {
-  const int counted = made.sent + (limits.unsent_attempts_count ? made.unsent : 0);
+bool has_attempts_left(const PolicyLimits& limits, AttemptCounts made) {
+  const int counted = made.sent + (limits.count_unsent_attempts ? made.unsent : 0);
   return counted < limits.max_attempts && made.unsent < kMaxUnsentPerAttempt * limits.max_attempts;
 }
 
@@ -56,9 +56,9 @@
   if (start.stop_at - now < kMinTimeLeft) return Denial::kOutOfTime;
   if (start.engine == nullptr || start.engine->state != EngineState::kInService)
     return Denial::kEngineLeaving;
-  if (!attempts_left(start.limits, count_attempts(others))) return Denial::kTooManyAttempts;
+  if (!has_attempts_left(start.limits, count_attempts(others))) return Denial::kTooManyAttempts;
   for (const EarlierAttempt& other : others) {
-    if (other.in_flight && !start.limits.second_copies) return Denial::kAttemptOut;
+    if (other.in_flight && !start.limits.second_copies) return Denial::kAttemptInFlight;
     const Denial denial = repeat_denied(start.query_class, other, *start.engine, now);
     if (denial != Denial::kNone) return denial;
   }
--- a/src/decision/permission.h
+++ b/src/decision/permission.h
@@ -21,13 +21,13 @@
   kOutOfTime,        // the client's time is over, or too little of it is left to start an attempt
   kEngineLeaving,    // the engine drains, is gone or is not listed
   kTooManyAttempts,  // the settings allow no further attempt
-  kAttemptOut,       // another attempt is in flight, and two at once are not allowed
+  kAttemptInFlight,  // another attempt is in flight, and two at once are not allowed
   kMayHaveRun,       // an earlier attempt may have run, and the class must not run twice
   kOutsideScope,     // an earlier attempt may have run, and this engine would not recognise the repeat
   kWindowOver,       // an earlier attempt may have run, and engines may no longer recognise the repeat
-  kAnswerOwed,       // a request was read and has no answer yet
+  kAnswerPending,    // a request was read and has no answer yet
 };
-inline constexpr std::size_t kDenials = 10;
+inline constexpr std::size_t kDenialCount = 10;
 
 const char* name_of(Denial denial);  // as metrics and log lines have it
 
@@ -43,7 +43,7 @@
 
 // Whether an attempt that ended so was never sent, not even in part.
 inline bool never_sent(OutcomeKind kind) {
-  return kind == OutcomeKind::kConnectFailed || kind == OutcomeKind::kMoot;
+  return kind == OutcomeKind::kConnectFailed || kind == OutcomeKind::kNotSent;
 }
 
 // A query's attempts so far.
@@ -53,7 +53,7 @@
 };
 
 // Whether the settings allow one more attempt.
-bool attempts_left(const Limits& limits, AttemptCounts made);
+bool has_attempts_left(const PolicyLimits& limits, AttemptCounts made);
 
 // Why another attempt, at the engine `to`, may not follow `earlier`; kNone: it may.
 Denial repeat_denied(const ClassSettings& query_class, const EarlierAttempt& earlier, const EngineEntry& to,
@@ -68,7 +68,7 @@
   const EngineEntry* engine = nullptr;  // null: not listed
   bool query_ended = false;
   TimeUs stop_at = 0;  // the instant from which nobody waits for the attempt any more
-  const Limits& limits;
+  const PolicyLimits& limits;
 };
 
 // Why an attempt may not start now; kNone: its query has not ended, enough time is left, its engine is in
@@ -77,7 +77,7 @@
 
 // Why this side may not close a client's connection now; kNone: it may.
 inline Denial close_denied(std::size_t requests_without_answer) {
-  return requests_without_answer > 0 ? Denial::kAnswerOwed : Denial::kNone;
+  return requests_without_answer > 0 ? Denial::kAnswerPending : Denial::kNone;
 }
 
 }  // namespace orchidgw
--- a/src/decision/workload_budget.cpp
+++ b/src/decision/workload_budget.cpp
@@ -157,7 +157,7 @@
       if (query_class.threads < 1 || query_class.deadline <= 0)
         throw std::invalid_argument("class without threads or deadline");
       // No deployment asks for order (rule 5) now: refused at the start rather than broken unnoticed.
-      if (query_class.in_order)
+      if (query_class.serial_by_key)
         throw std::invalid_argument("class " + query_class.name + " asks for order, which is not kept");
     }
     for (const auto& tenant : settings_.tenants) quota_per_s_ += tenant.quota_per_s;
@@ -167,7 +167,7 @@
   void on_engines(TimeUs now, ListKind kind, const std::vector<EngineEntry>& entries,
                   ActionSink& sink) override {
     ensure_started(now, sink);
-    if (kind == ListKind::kError && settings_.must_ask_discovery) resubscribe_at_ = now + 1'000 * kMs;
+    if (kind == ListKind::kError && settings_.must_subscribe) resubscribe_at_ = now + 1'000 * kMs;
     if (kind == ListKind::kError) return;
     if (kind != ListKind::kDelta)
       for (auto& [id, engine] : engines_) engine.listed = false;
@@ -199,7 +199,7 @@
     ensure_started(now, sink);
     arrivals_.push_back(now);
     // Guards against a retry budget over too late a window: a query that waited before is not new now.
-    if (settings_.rules.attempts_rationed && query.waited == 0) query_times_.push_back(now);
+    if (settings_.rules.has_retry_budget && query.waited == 0) query_times_.push_back(now);
     const ClassSettings& query_class = settings_.classes.at(static_cast<size_t>(query.class_index));
     TrackedQuery& tracked = queries_[query.id];
     tracked.query = query;
@@ -253,7 +253,8 @@
     if (note.kind == NoteKind::kSpill && !attempt.spilled) {
       attempt.spilled = true;
       // Where engines report memory used, or shrink grants when short, the answer updates the grant instead.
-      if (!settings_.tells_cost && settings_.when_short != WhenShort::kShrink)
+      if (!settings_.engines_report_cost &&
+          settings_.memory_shortage_policy != MemoryShortagePolicy::kReduceGrant)
         update_grant_multiple(stats_of(tracked), attempt, true);
     }
     if (note.kind == NoteKind::kWait && note.value >= 2)
@@ -334,7 +335,7 @@
     schedule_tick(now, sink);
     // Gateways reset at different moments: queued queries must not rush to the same engines at once.
     sink.set_timer(kBudgetWindow * (settings_.self + 1) / settings_.gateways, kBudgetResetTimer);
-    if (settings_.must_ask_discovery) sink.subscribe();
+    if (settings_.must_subscribe) sink.subscribe();
   }
 
   const ClassSettings& class_of(const TrackedQuery& tracked) const {
@@ -350,12 +351,15 @@
     const ClassStats& stats = stats_[class_index];
     const double bias = stats.estimated_us > 0 ? stats.actual_us / stats.estimated_us : 1.0;
     if (query.cost_estimate > 0) return static_cast<double>(query.cost_estimate) * bias;
-    return stats.mean_us > 0 ? stats.mean_us : static_cast<double>(settings_.classes[class_index].aim) * 0.5;
+    return stats.mean_us > 0 ? stats.mean_us
+                             : static_cast<double>(settings_.classes[class_index].latency_target) * 0.5;
   }
 
   // Engines that page grant nothing: they let every query in and slow all of them once memory is used up.
   // There the estimate of memory is counted as a grant would be (DESIGN: "memory may be checked likewise").
-  bool counts_memory() const { return settings_.grants || settings_.when_short == WhenShort::kPage; }
+  bool counts_memory() const {
+    return settings_.grants || settings_.memory_shortage_policy == MemoryShortagePolicy::kOvercommit;
+  }
   double wanted_memory_mb(const TrackedQuery& tracked) {
     return tracked.query.memory_mb * (settings_.grants ? stats_of(tracked).grant_multiple : 1.0);
   }
@@ -382,8 +386,8 @@
     Engine& engine = engines_.at(attempt.engine.id);  // kept while it has attempts in flight
     const ClassSettings& query_class = class_of(tracked);
     const TimeUs latency = std::max<TimeUs>(outcome.latency - (gateway_stall_ - attempt.stall_at_send), 0);
-    const double spent_us = outcome.told_cost && outcome.kind == OutcomeKind::kOk
-                                ? static_cast<double>(*outcome.told_cost)
+    const double spent_us = outcome.reported_cost && outcome.kind == OutcomeKind::kOk
+                                ? static_cast<double>(*outcome.reported_cost)
                                 : static_cast<double>(latency * query_class.threads);
     totals_.used_threads -= query_class.threads;
     totals_.granted_mb -= attempt.grant_mb;
@@ -400,7 +404,7 @@
     ClassStats& stats = stats_of(tracked);
     const double estimate_us = static_cast<double>(tracked.query.cost_estimate);
     double slowdown = 0, actual_us = spent_us;
-    if (outcome.told_cost) {
+    if (outcome.reported_cost) {
       slowdown = static_cast<double>(latency * query_class.threads) / std::max(spent_us, 1.0);
     } else if (estimate_us > 0) {
       const double ratio = spent_us / estimate_us;
@@ -423,8 +427,8 @@
       totals_.mean_slowdown += kCostEwmaWeight * (slowdown - totals_.mean_slowdown);
       update_slowdown(engine, slowdown);
     }
-    if (outcome.told_memory_mb || !attempt.spilled)
-      update_grant_multiple(stats, attempt, outcome.told_memory_mb.value_or(0) > attempt.grant_mb);
+    if (outcome.reported_memory_mb || !attempt.spilled)
+      update_grant_multiple(stats, attempt, outcome.reported_memory_mb.value_or(0) > attempt.grant_mb);
   }
 
   // Hundreds of gateways each hear an engine once in seconds: the first answer counts in full, later ones
@@ -592,8 +596,8 @@
     TimeUs latest = tracked.deadline - kAnswerMargin;
     if (tracked.query.limits && tracked.attempts.empty()) latest = tracked.query.limits->hold_until(latest);
     if (!may_refuse(tracked)) return latest;
-    const double target_us =
-        static_cast<double>(class_of(tracked).aim) + class_of(tracked).aim_stretch * ideal_us(tracked);
+    const double target_us = static_cast<double>(class_of(tracked).latency_target) +
+                             class_of(tracked).latency_target_runtime_factor * ideal_us(tracked);
     return std::min(latest, tracked.arrived_at + static_cast<TimeUs>(std::max(
                                                      target_us - 1.5 * ideal_us(tracked), target_us * 0.3)));
   }
@@ -633,7 +637,7 @@
   bool may_send(const TrackedQuery& tracked, const Engine& engine, TimeUs now) {
     const ClassSettings& query_class = class_of(tracked);
     if (tracked.ended || now >= tracked.deadline) return false;
-    if (!attempts_left(settings_.limits, tracked.attempt_counts())) return false;
+    if (!has_attempts_left(settings_.limits, tracked.attempt_counts())) return false;
     const int attempts_made = static_cast<int>(tracked.attempts.size());
     if (tracked.query.limits && !tracked.query.limits->may_send(now, attempts_made, tracked.in_flight()))
       return false;
@@ -658,27 +662,27 @@
   }
 
   bool retry_budget_allows(const TrackedQuery& tracked, TimeUs now) {  // rule 7
-    if (tracked.attempts.empty() || !settings_.rules.attempts_rationed) return true;
-    while (!query_times_.empty() && query_times_.front() <= now - settings_.rules.extra_window)
+    if (tracked.attempts.empty() || !settings_.rules.has_retry_budget) return true;
+    while (!query_times_.empty() && query_times_.front() <= now - settings_.rules.retry_budget_window)
       query_times_.pop_front();
-    while (!retry_times_.empty() && retry_times_.front() < now - settings_.rules.extra_window)
+    while (!retry_times_.empty() && retry_times_.front() < now - settings_.rules.retry_budget_window)
       retry_times_.pop_front();
     const double attempts_made = static_cast<double>(retry_times_.size()) + 1;
     if (fleet_ && fleet_->further_attempts >= 0 && attempts_made > fleet_->further_attempts) return false;
-    return attempts_made <= settings_.rules.extra_free +
-                                settings_.rules.extra_share * static_cast<double>(query_times_.size());
+    return attempts_made <= settings_.rules.retry_budget_floor +
+                                settings_.rules.retry_budget_share * static_cast<double>(query_times_.size());
   }
 
   // Rule 7 limits the work of engines: an attempt that was never sent caused none.
   void refund_retry_budget(const Attempt& attempt) {
-    if (settings_.limits.unsent_attempts_count || !earlier_attempt(attempt).unsent) return;
+    if (settings_.limits.count_unsent_attempts || !earlier_attempt(attempt).unsent) return;
     const auto found = std::find(retry_times_.begin(), retry_times_.end(), attempt.sent_at);
     if (found != retry_times_.end()) retry_times_.erase(found);
   }
 
   bool in_slow_start(const Engine& engine, TimeUs now) const {
-    return settings_.rules.fall_multiple > 0 && engine.entry.started_at > 0 &&
-           now - engine.entry.started_at < settings_.rules.cold_for;
+    return settings_.rules.overload_multiple > 0 && engine.entry.started_at > 0 &&
+           now - engine.entry.started_at < settings_.rules.slow_start_duration;
   }
 
   // Rule 4 limits all gateways together; each keeps to an even part of the allowance in any window. Where
@@ -686,16 +690,17 @@
   // Turns are counted from the engine's start: gateways share no clock.
   bool slow_start_allows(const TrackedQuery& tracked, const Engine& engine, TimeUs now) const {
     if (!in_slow_start(engine, now)) return true;
-    const TimeUs window = settings_.rules.fall_window;
+    const TimeUs window = settings_.rules.overload_window;
     double recent_cpu_us = 0;
     for (const auto& [sent_at, cpu_us] : engine.slow_start_sends)
       if (sent_at > now - window) recent_cpu_us += cpu_us;
-    const double warmed =
-        static_cast<double>(now - engine.entry.started_at) / static_cast<double>(settings_.rules.cold_for);
+    const double warmed = static_cast<double>(now - engine.entry.started_at) /
+                          static_cast<double>(settings_.rules.slow_start_duration);
     const double capacity =
-        engine.cores * (settings_.rules.cold_from + (1 - settings_.rules.cold_from) * std::max(warmed, 0.0));
+        engine.cores * (settings_.rules.slow_start_initial_capacity +
+                        (1 - settings_.rules.slow_start_initial_capacity) * std::max(warmed, 0.0));
     const double allowance_us =
-        kSlowStartShare * settings_.rules.fall_multiple * capacity * static_cast<double>(window);
+        kSlowStartShare * settings_.rules.overload_multiple * capacity * static_cast<double>(window);
     const double gateways = fleet_ ? fleet_->live : settings_.gateways;
     if (recent_cpu_us + tracked.cpu_us <= allowance_us * (fleet_ ? fleet_->cold : 1.0 / settings_.gateways))
       return true;
@@ -713,7 +718,7 @@
     if (!may_send(tracked, engine, now)) return;
     dequeue(tracked);
     const ClassSettings& query_class = class_of(tracked);
-    if (!tracked.attempts.empty() && settings_.rules.attempts_rationed) retry_times_.push_back(now);
+    if (!tracked.attempts.empty() && settings_.rules.has_retry_budget) retry_times_.push_back(now);
     Attempt attempt;
     attempt.engine = engine.entry;
     attempt.sent_at = now;
@@ -722,7 +727,7 @@
     attempt.grant_mb = grant_mb_for(tracked, engine);
     const int priority = settings_.priorities ? priority_for(tracked) : 1;
     const double grant_mb = settings_.grants ? std::floor(attempt.grant_mb) : 0;  // else counted, not sent
-    if (grant_mb > 0 || priority != 1) sink.set_terms(tracked.query.id, priority, grant_mb);
+    if (grant_mb > 0 || priority != 1) sink.set_priority_and_grant(tracked.query.id, priority, grant_mb);
     if (!tracked.query.tenant.empty()) budget_left(engine, tracked.query.tenant) -= attempt.charged_us;
     engine.used_threads += query_class.threads;
     engine.granted_mb += attempt.grant_mb;
@@ -731,7 +736,7 @@
     if (query_class.load) ++engine.loads_in_flight[tracked.query.table_group];
     if (in_slow_start(engine, now)) {
       while (!engine.slow_start_sends.empty() &&
-             engine.slow_start_sends.front().first < now - 2 * settings_.rules.fall_window)
+             engine.slow_start_sends.front().first < now - 2 * settings_.rules.overload_window)
         engine.slow_start_sends.pop_front();
       engine.slow_start_sends.emplace_back(now, tracked.cpu_us);
     }
@@ -753,7 +758,7 @@
   // After an outcome that did not end the query: queues it again where the rules allow it, else answers now.
   void retry_or_answer(TimeUs now, TrackedQuery& tracked, ActionSink& sink) {
     if (tracked.queued || tracked.in_flight() > 0) return;
-    const bool tries_left = attempts_left(settings_.limits, tracked.attempt_counts());
+    const bool tries_left = has_attempts_left(settings_.limits, tracked.attempt_counts());
     const bool may_repeat = std::any_of(engines_.begin(), engines_.end(), [&](const auto& item) {
       return effect_allows(tracked, class_of(tracked), item.second, now) &&
              placement_allows(class_of(tracked), item.second);
@@ -873,7 +878,7 @@
         Attempt& attempt = tracked.attempts[static_cast<size_t>(attempt_index)];
         const int attempts_made = static_cast<int>(tracked.attempts.size());
         if (!tracked.ended && !tracked.queued && tracked.query.limits &&
-            tracked.query.limits->copy_due(now, attempt.sent_at, attempts_made))
+            tracked.query.limits->second_copy_due(now, attempt.sent_at, attempts_made))
           enqueue(tracked);
         if (attempt.abandoned) continue;  // counted once: old silence must not delay the next trial for ever
         const bool has_notes = settings_.progress_interval > 0;
@@ -882,7 +887,7 @@
                            kSilentNoteIntervals * settings_.progress_interval;
         const double wait_limit_us =
             has_notes ? kMinAnswerWaitUs
-                      : kMinAnswerWaitPerTarget * static_cast<double>(class_of(tracked).aim);
+                      : kMinAnswerWaitPerTarget * static_cast<double>(class_of(tracked).latency_target);
         const double max_wait_us = std::max(kOverdueFactor * stats_of(tracked).slowdown * ideal_us(tracked),
                                             std::min(kMinAnswerWaitUs, wait_limit_us));
         const bool overdue = static_cast<double>(awake_now - awake_sent) > max_wait_us;
--- a/src/fleet/agreed_log.h
+++ b/src/fleet/agreed_log.h
@@ -23,17 +23,17 @@
 };
 
 // The state machine that committed entries are applied to.
-class Replica {
+class StateMachine {
  public:
-  virtual ~Replica() = default;
+  virtual ~StateMachine() = default;
   virtual void apply(const Entry& entry) = 0;
   virtual const State& state() const = 0;  // read when a snapshot is taken
   virtual void restore(State state) = 0;   // replaces the state by a snapshot's
 };
 
-class AgreedLog {
+class ReplicatedLog {
  public:
-  virtual ~AgreedLog() = default;
+  virtual ~ReplicatedLog() = default;
   // True: this keeper is the leader and has applied all entries from before its election.
   virtual bool leads() const = 0;
   virtual std::uint64_t term() const = 0;  // Raft term; never decreases, and has one leader at most
@@ -43,7 +43,7 @@
   virtual bool propose(const Entry& entry) = 0;
   // How many of the entries proposed here are done with: applied, or abandoned, in which case it is unknown
   // whether they will be committed.
-  virtual std::uint64_t finished() const = 0;
+  virtual std::uint64_t finished_proposals() const = 0;
 };
 
 }  // namespace orchidgw::fleet
--- a/src/fleet/allowances.cpp
+++ b/src/fleet/allowances.cpp
@@ -38,7 +38,7 @@
   return out;
 }
 
-double usable_share(const budget::Holder& holder, TimeUs now, std::size_t a) {
+double usable_share(const budget::LeaseHolder& holder, TimeUs now, std::size_t a) {
   const Parts whole = holder.terms().allowances[a].whole;
   return whole > 0 ? static_cast<double>(holder.usable(now, a)) / static_cast<double>(whole) : 0;
 }
@@ -54,13 +54,13 @@
   out.ramp = config.ramp;
   for (const ClassSettings& c : settings.classes)
     if (config.keys && c.effect != Effect::kIdempotent)
-      out.longest_rest = std::max(out.longest_rest, core::rest_of(c));
+      out.longest_key_hold = std::max(out.longest_key_hold, core::key_hold_of(c));
   const auto add = [&](std::string name, Parts whole) {
     out.allowances.push_back(make_allowance(config, std::move(name), whole));
   };
   if (settings.tenants.empty()) add(kCpu, kMillion);
   for (const TenantSettings& tenant : settings.tenants) add(kCpu + tenant.name, kMillion);
-  if (settings.rules.fall_multiple > 0) add(kCold, kMillion);
+  if (settings.rules.overload_multiple > 0) add(kCold, kMillion);
   if (config.further_attempts) add(kFurtherAttempts, *config.further_attempts);
   if (limits != nullptr) {
     for (const auto& route : limits->routes()) {
@@ -76,7 +76,7 @@
   return out;
 }
 
-Shares shares_of(const budget::Holder& holder, const Settings& settings, TimeUs now) {
+Shares shares_of(const budget::LeaseHolder& holder, const Settings& settings, TimeUs now) {
   Shares out;
   FleetShare& module_share = out.module;
   const bool leased = holder.leased(now);
@@ -98,7 +98,7 @@
     } else if (has_prefix(name, kRate)) {
       out.limits.rates[without_prefix(name, kRate)] = static_cast<double>(holder.usable(now, a)) / kMilli;
     } else if (has_prefix(name, kConcurrency)) {
-      out.limits.places[without_prefix(name, kConcurrency)] = static_cast<int>(holder.usable(now, a));
+      out.limits.concurrency[without_prefix(name, kConcurrency)] = static_cast<int>(holder.usable(now, a));
     }
   }
   return out;
@@ -113,13 +113,13 @@
   }
 }
 
-void Demand::taken(TimeUs now, const std::string& tenant, TimeUs cost) {
+void Demand::query_accepted(TimeUs now, const std::string& tenant, TimeUs cost) {
   drop_expired(now);
   accepted_.push_back({now, tenant, cost});
   cost_by_tenant_[tenant] += static_cast<double>(cost);
 }
 
-std::vector<Parts> Demand::parts(TimeUs now, const budget::Terms& terms, const limits::FleetUse& use) {
+std::vector<Parts> Demand::parts(TimeUs now, const budget::Terms& terms, const limits::FleetUsage& use) {
   drop_expired(now);
   double total_cost = 0;
   for (const auto& [tenant, sum] : cost_by_tenant_) total_cost += sum;
@@ -151,7 +151,8 @@
   return out;
 }
 
-std::vector<Parts> Demand::in_use(TimeUs now, const budget::Holder& holder, const limits::FleetUse& use) {
+std::vector<Parts> Demand::parts_in_use(TimeUs now, const budget::LeaseHolder& holder,
+                                        const limits::FleetUsage& use) {
   std::vector<Parts> out;
   const auto& allowances = holder.terms().allowances;
   for (std::size_t a = 0; a < allowances.size(); ++a) {
--- a/src/fleet/allowances.h
+++ b/src/fleet/allowances.h
@@ -37,7 +37,7 @@
   bool operator==(const Shares&) const = default;
 };
 // The shares that `holder` may use at `now`; without a valid lease only the parts set aside for that case.
-Shares shares_of(const budget::Holder& holder, const Settings& settings, TimeUs now);
+Shares shares_of(const budget::LeaseHolder& holder, const Settings& settings, TimeUs now);
 
 // Measures how much of each allowance this controller's own traffic needs, over the last seconds.
 class Demand {
@@ -45,14 +45,17 @@
   explicit Demand(const Settings& settings) : settings_(settings) {}
 
   // Counts an accepted query; `cost` is its CPU time in microseconds.
-  void taken(TimeUs now, const std::string& tenant, TimeUs cost);
-  void engines(double cores) { cores_ = cores; }  // sets the number of cores of all listed engines together
+  void query_accepted(TimeUs now, const std::string& tenant, TimeUs cost);
+  void set_engine_cores(double cores) {
+    cores_ = cores;
+  }  // sets the number of cores of all listed engines together
   // By allowance, in the order of `terms`: the parts needed beyond the cut-off part, which needs no lease.
-  std::vector<budget::Parts> parts(TimeUs now, const budget::Terms& terms, const limits::FleetUse& use);
+  std::vector<budget::Parts> parts(TimeUs now, const budget::Terms& terms, const limits::FleetUsage& use);
 
   // By allowance: the parts in use beyond the cut-off part that can't be given back yet. For concurrency
   // these are queries in flight; for a CPU budget the largest part leased within the last window.
-  std::vector<budget::Parts> in_use(TimeUs now, const budget::Holder& holder, const limits::FleetUse& use);
+  std::vector<budget::Parts> parts_in_use(TimeUs now, const budget::LeaseHolder& holder,
+                                          const limits::FleetUsage& use);
 
  private:
   struct AcceptedQuery {
--- a/src/fleet/fleet_config.h
+++ b/src/fleet/fleet_config.h
@@ -11,7 +11,7 @@
 
 namespace orchidgw::fleet {
 
-struct KeeperPlace {
+struct KeeperEndpoint {
   KeeperId id = 0;
   std::string name;  // of the controller that runs this keeper, as in its BALANCER_NAME
   core::Address address;
@@ -39,13 +39,14 @@
   // Retry budget of all controllers together, in the rules' window; none: it is not divided.
   std::optional<int> further_attempts;
   bool keys = false;  // keys of queries that must not run twice are held by the keepers, for the whole fleet
-  std::vector<KeeperPlace> keepers;
-  std::string store;     // folder of a keeper's store
-  bool careful = false;  // a keeper whose store can't be used starts as a member that is no keeper
+  std::vector<KeeperEndpoint> keepers;
+  std::string store;  // folder of a keeper's store
+  bool start_with_bad_store =
+      false;  // a keeper whose store can't be used starts as a member that is no keeper
 
   // The keeper that runs in the controller of that name; null: none.
-  const KeeperPlace* keeper_named(const std::string& controller) const {
-    for (const KeeperPlace& keeper : keepers)
+  const KeeperEndpoint* find_keeper(const std::string& controller) const {
+    for (const KeeperEndpoint& keeper : keepers)
       if (keeper.name == controller) return &keeper;
     return nullptr;
   }
--- a/src/fleet/keeper_role.h
+++ b/src/fleet/keeper_role.h
@@ -17,7 +17,7 @@
 
 using LinkId = std::uint64_t;  // the connection on which a request came
 
-class KeeperRole final : public Replica {
+class KeeperRole final : public StateMachine {
  public:
   struct Reply {
     LinkId link = 0;
@@ -25,37 +25,37 @@
   };
 
   // `own`: the terms of this keeper's file; a leader proposes them where they are newer than the fleet's.
-  explicit KeeperRole(const budget::Terms& own) { wants(own); }
+  explicit KeeperRole(const budget::Terms& own) { set_own_terms(own); }
 
-  void wants(const budget::Terms& own) { arbiter_.wants(own), own_terms_ = own; }
+  void set_own_terms(const budget::Terms& own) { arbiter_.set_own_terms(own), own_terms_ = own; }
   // A member's request came on connection `from`. A request for a lease that can't be granted here is
   // answered with the leader's id; a request for keys is dropped then.
-  void asked(const AgreedLog& log, LinkId from, budget::Ask ask);
-  void asked(const AgreedLog& log, LinkId from, promises::KeyAsk ask);
+  void on_request(const ReplicatedLog& log, LinkId from, budget::LeaseRequest ask);
+  void on_request(const ReplicatedLog& log, LinkId from, promises::KeyRequest ask);
   void link_gone(LinkId link);  // replies that are owed to that connection are dropped
   // To be called after each event, and when `next_due` is reached: applies a change of leadership, queues
   // replies and proposes the next entry.
-  void run(TimeUs now, AgreedLog& log);
+  void run(TimeUs now, ReplicatedLog& log);
   std::vector<Reply> take_replies();       // removes the queued replies
   std::optional<TimeUs> next_due() const;  // when `run` has to be called without an event; none: not
 
-  // Implementation of Replica. The time of a lease that `apply` grants counts from the next `run`, which is
-  // later and so on the safe side.
+  // Implementation of StateMachine. The time of a lease that `apply` grants counts from the next `run`, which
+  // is later and so on the safe side.
   void apply(const Entry& entry) override;
   const State& state() const override { return state_; }
   void restore(State state) override { state_ = std::move(state); }
 
-  std::string status(const AgreedLog& log) const;  // lines of text for operators
+  std::string status(const ReplicatedLog& log) const;  // lines of text for operators
 
  private:
   void queue_reply(const budget::Grant& grant);
-  void queue_reply(promises::KeyTold reply);
+  void queue_reply(promises::KeyReply reply);
   const budget::Terms& terms() const;  // as committed, else this keeper's own
 
   State state_;
   budget::Terms own_terms_;
   budget::Arbiter arbiter_;
-  promises::KeyWatch watch_;
+  promises::KeyArbiter watch_;
   std::uint64_t term_ = 0;  // in which it became the leader
   std::uint64_t proposed_count_ = 0;
   std::uint64_t applied_count_ = 0;
@@ -67,7 +67,7 @@
   std::map<budget::MemberKey, PendingRequest> pending_requests_;  // by member: its latest request
   std::map<std::pair<budget::MemberKey, std::uint64_t>, LinkId> pending_key_requests_;  // by member and seq
   std::deque<budget::Grant> granted_;                                                   // since the last run
-  std::vector<promises::KeyTold> key_replies_;                                          // since the last run
+  std::vector<promises::KeyReply> key_replies_;                                         // since the last run
   bool entry_in_flight_ = false;  // an entry was proposed and not applied, as of the last run
   bool news_ = false;             // an entry was applied since the last run
   std::vector<Reply> replies_;
--- a/src/fleet/member_role.cpp
+++ b/src/fleet/member_role.cpp
@@ -37,11 +37,11 @@
          static_cast<TimeUs>(next_random(random_state_) % static_cast<std::uint64_t>(time / 5 + 1));
 }
 
-budget::Ask MemberRole::ask(TimeUs now, std::vector<budget::Parts> demand,
-                            const std::vector<budget::Parts>& in_use) {
+budget::LeaseRequest MemberRole::ask(TimeUs now, std::vector<budget::Parts> demand,
+                                     const std::vector<budget::Parts>& parts_in_use) {
   if (awaiting_reply_)
     current_keeper_ = (current_keeper_ + 1) % keepers_.size();  // the keeper before did not reply in time
-  budget::Ask request = holder_.ask(now, std::move(demand), in_use);
+  budget::LeaseRequest request = holder_.ask(now, std::move(demand), parts_in_use);
   last_seq_ = request.seq;
   requested_at_ = now;
   awaiting_reply_ = true;
@@ -49,7 +49,7 @@
   return request;
 }
 
-bool MemberRole::told(TimeUs now, const GrantTold& reply) {
+bool MemberRole::on_reply(TimeUs now, const GrantReply& reply) {
   leader_known_ = true;
   keys_settled_ = reply.keys_settled;
   const bool lease_changed = holder_.answered(now, reply.grant, reply.terms);
@@ -57,17 +57,17 @@
   if (reply.grant.seq != last_seq_ && !lease_changed) return lease_changed;
   awaiting_reply_ = false;
   redirect_count_ = 0;
-  next_request_at_ = holder_.owes_answer() ? now : requested_at_ + with_jitter(renewal_interval());
+  next_request_at_ = holder_.must_acknowledge() ? now : requested_at_ + with_jitter(renewal_interval());
   // A request that did not change the lease (not admitted, no terms yet) is repeated after the usual
   // interval.
   if (!lease_changed) next_request_at_ = std::max(next_request_at_, now + with_jitter(reply_timeout()));
   return lease_changed;
 }
 
-void MemberRole::told(TimeUs now, const Elsewhere& redirect) {
+void MemberRole::on_reply(TimeUs now, const Redirect& redirect) {
   if (!awaiting_reply_ || redirect.seq != last_seq_) return;
   leader_known_ = redirect.leader != 0;
-  if (redirect.leader == asks()) {  // it is the leader, and grants nothing yet
+  if (redirect.leader == keeper_to_ask()) {  // it is the leader, and grants nothing yet
     awaiting_reply_ = false;
     redirect_count_ = 0;
     next_request_at_ = now + with_jitter(holder_.terms().term / kRetryPauseDivisor);
@@ -85,7 +85,7 @@
 }
 
 void MemberRole::link_down(TimeUs now, KeeperId keeper) {
-  if (awaiting_reply_ && keeper == asks())
+  if (awaiting_reply_ && keeper == keeper_to_ask())
     try_next_keeper(now, with_jitter(holder_.terms().term / kRetryPauseDivisor));
 }
 
--- a/src/fleet/member_role.h
+++ b/src/fleet/member_role.h
@@ -1,5 +1,5 @@
 // A controller's role as a holder of leases: which keeper it sends its requests to, when, and what it does
-// with the replies. A reducer: no I/O, no clock; times are on the clock of `budget::Holder`.
+// with the replies. A reducer: no I/O, no clock; times are on the clock of `budget::LeaseHolder`.
 #pragma once
 
 #include <cstdint>
@@ -20,13 +20,14 @@
   // When the next request is due; it is to be sent to the keeper `asks()`.
   TimeUs next_due() const { return awaiting_reply_ ? reply_deadline_ : next_request_at_; }
   bool due(TimeUs now) const { return now >= next_due(); }
-  KeeperId asks() const { return keepers_[current_keeper_]; }
-  // Makes the next request. `demand`, `in_use`: by allowance, see `budget::Holder::ask`.
-  budget::Ask ask(TimeUs now, std::vector<budget::Parts> demand, const std::vector<budget::Parts>& in_use);
+  KeeperId keeper_to_ask() const { return keepers_[current_keeper_]; }
+  // Makes the next request. `demand`, `parts_in_use`: by allowance, see `budget::LeaseHolder::ask`.
+  budget::LeaseRequest ask(TimeUs now, std::vector<budget::Parts> demand,
+                           const std::vector<budget::Parts>& parts_in_use);
 
   // Handles a reply. True: the lease has changed or was renewed.
-  bool told(TimeUs now, const GrantTold& reply);
-  void told(TimeUs now, const Elsewhere& redirect);
+  bool on_reply(TimeUs now, const GrantReply& reply);
+  void on_reply(TimeUs now, const Redirect& redirect);
   void link_down(TimeUs now, KeeperId keeper);  // the connection to `keeper` was lost
 
   // Whether there was a leader, by the last reply.
@@ -36,7 +37,7 @@
 
   // Gives the lease back; the next request, due at once, says so to the keepers.
   void leave(TimeUs now);
-  const budget::Holder& holder() const { return holder_; }
+  const budget::LeaseHolder& holder() const { return holder_; }
 
  private:
   TimeUs renewal_interval() const;
@@ -44,7 +45,7 @@
   TimeUs with_jitter(TimeUs time);  // a random time from 0.9 to 1.1 of it
   void try_next_keeper(TimeUs now, TimeUs delay);
 
-  budget::Holder holder_;
+  budget::LeaseHolder holder_;
   std::vector<KeeperId> keepers_;
   std::size_t current_keeper_ = 0;
   std::uint64_t random_state_;
--- a/src/fleet/messages.h
+++ b/src/fleet/messages.h
@@ -13,7 +13,7 @@
 
 namespace orchidgw::fleet {
 
-inline constexpr std::uint32_t kVersion = 1;
+inline constexpr std::uint32_t kProtocolVersion = 1;
 
 using KeeperId = std::uint32_t;  // from 1; 0: none
 
@@ -25,39 +25,40 @@
 };
 
 // How far a keeper's log has come.
-struct LogStanding {
+struct LogProgress {
   std::uint64_t term = 0;  // the keeper's current Raft term
   LogPosition last;        // last entry of its log
   LogPosition agreed;      // last entry that it knows to be committed: stored by a majority
-  bool operator==(const LogStanding&) const = default;
+  bool operator==(const LogProgress&) const = default;
 };
 
 // The first message on each connection, in both directions. Rejects controllers of another fleet that connect
 // by mistake; it is no protection against attackers.
 struct Hello {
-  std::uint32_t version = kVersion;
+  std::uint32_t version = kProtocolVersion;
   std::string fleet;
   std::uint64_t number = 0;
   budget::MemberKey from;
   KeeperId keeper = 0;
-  std::vector<KeeperId> begun;  // from a keeper: the keepers, itself included, that it knows to have a log
-  LogStanding at;               // from a keeper: how far its log has come
+  std::vector<KeeperId>
+      bootstrapped;  // from a keeper: the keepers, itself included, that it knows to have a log
+  LogProgress at;    // from a keeper: how far its log has come
   bool operator==(const Hello&) const = default;
 };
 
 // Reply to a lease request.
-struct GrantTold {
+struct GrantReply {
   budget::Grant grant;
   std::vector<budget::Terms> terms;  // none, or one: the current terms, where the request named other ones
   bool keys_settled = false;         // holds of keys from before the keepers' current log have all expired
-  bool operator==(const GrantTold&) const = default;
+  bool operator==(const GrantReply&) const = default;
 };
 
 // Reply to a lease request that this keeper can't grant: `leader` is the keeper to ask, 0 if none is known.
-struct Elsewhere {
+struct Redirect {
   std::uint64_t seq = 0;  // of the request
   KeeperId leader = 0;
-  bool operator==(const Elsewhere&) const = default;
+  bool operator==(const Redirect&) const = default;
 };
 
 struct LogEntry {
@@ -91,10 +92,10 @@
 };
 
 // A reply to a request.
-using Answer = std::variant<GrantTold, Elsewhere, promises::KeyTold>;
+using Answer = std::variant<GrantReply, Redirect, promises::KeyReply>;
 
-using Message =
-    std::variant<Hello, budget::Ask, GrantTold, Elsewhere, LogMessage, promises::KeyAsk, promises::KeyTold>;
+using Message = std::variant<Hello, budget::LeaseRequest, GrantReply, Redirect, LogMessage,
+                             promises::KeyRequest, promises::KeyReply>;
 
 inline Message message_of(const Answer& answer) {
   return std::visit([](const auto& alternative) { return Message(alternative); }, answer);
--- a/src/http/engine_calls.cpp
+++ b/src/http/engine_calls.cpp
@@ -39,7 +39,7 @@
   return head;
 }
 
-std::string write_start(const core::StartCall& call, TimeUs now) {
+std::string write_start(const core::SendCall& call, TimeUs now) {
   std::string out = request_line("POST", kPath, call.address);
   header(out, "Call-Id", call.reference);
   header(out, "Call-Kind", call.class_name);
@@ -54,7 +54,7 @@
 std::optional<double> reported_value(const ResponseHead& head, std::string_view name) {
   const std::string* text = head.find(name);
   if (text == nullptr) return std::nullopt;
-  const auto value = core::parse_finite(*text);
+  const auto value = core::parse_finite_double(*text);
   if (!value || *value < 0 || *value > kMaxReportedValue) return std::nullopt;
   return value;
 }
@@ -62,7 +62,7 @@
 std::optional<int> page_value(const ResponseHead& head, std::string_view name) {
   const std::string* text = head.find(name);
   if (text == nullptr) return std::nullopt;
-  const auto value = core::parse_whole<int>(*text);
+  const auto value = core::parse_integer<int>(*text);
   if (!value || *value < 0 || *value > kMaxPages) return std::nullopt;
   return value;
 }
@@ -90,8 +90,8 @@
   answer.pages = *pages;
   answer.rows = std::move(rows);
   if (const auto cost = reported_value(head, "x-cost-ms"))
-    answer.told_cost = static_cast<TimeUs>(std::llround(*cost * static_cast<double>(kUsPerMs)));
-  answer.told_memory_mb = reported_value(head, "x-needed-mb");
+    answer.reported_cost = static_cast<TimeUs>(std::llround(*cost * static_cast<double>(kUsPerMs)));
+  answer.reported_memory_mb = reported_value(head, "x-needed-mb");
   return answer;
 }
 
@@ -103,18 +103,18 @@
 
 }  // namespace
 
-std::string write_call(const core::StartCall& call, TimeUs now) {
+std::string write_call(const core::SendCall& call, TimeUs now) {
   const std::string query = std::string(kPath) + "/" + call.reference;
   switch (call.kind) {
     case CallKind::kStart:
       return write_start(call, now);
-    case CallKind::kNews:
+    case CallKind::kPoll:
       return request_line("GET", query + "/0", call.address) + "\r\n";
     case CallKind::kPage:
       return request_line("GET", query + "/" + std::to_string(call.page), call.address) + "\r\n";
     case CallKind::kPriority:
       return with_body(request_line("PUT", query, call.address), std::to_string(call.priority));
-    case CallKind::kGiveUp:
+    case CallKind::kCancel:
       return request_line("DELETE", query, call.address) + "\r\n";
   }
   return {};
@@ -122,14 +122,14 @@
 
 std::optional<CallAnswer> read_answer(CallKind kind, const ResponseHead& head, core::PayloadPtr rows,
                                       bool whole_rows) {
-  if (kind == CallKind::kPriority || kind == CallKind::kGiveUp)
+  if (kind == CallKind::kPriority || kind == CallKind::kCancel)
     return answer_of_kind(CallAnswer::Kind::kDone);
   if (head.status == 200 && !whole_rows) return std::nullopt;
   if (head.status == 200 && kind == CallKind::kPage) return read_page(head, std::move(rows));
   if (head.status == 200) return read_served(head, std::move(rows));
-  if (head.status == 202 && kind != CallKind::kPage) return answer_of_kind(CallAnswer::Kind::kNotYet);
+  if (head.status == 202 && kind != CallKind::kPage) return answer_of_kind(CallAnswer::Kind::kPending);
   if (head.status == 503 && is_marked_not_begun(head)) return answer_of_kind(CallAnswer::Kind::kFull);
-  if (head.status == 504 && is_marked_not_begun(head)) return answer_of_kind(CallAnswer::Kind::kOver);
+  if (head.status == 504 && is_marked_not_begun(head)) return answer_of_kind(CallAnswer::Kind::kExpired);
   if (head.status >= 400) return answer_of_kind(CallAnswer::Kind::kError);
   return std::nullopt;
 }
--- a/src/http/engine_calls.h
+++ b/src/http/engine_calls.h
@@ -11,10 +11,10 @@
 namespace orchidgw::http {
 
 // Upper bound on the body of an answer, which holds one page of rows.
-inline constexpr std::size_t kPageBytesMost = 6000;
+inline constexpr std::size_t kMaxPageBytes = 6000;
 
 // Returns the complete request. The time that it gives the engine is counted from `now`.
-std::string write_call(const core::StartCall& call, TimeUs now);
+std::string write_call(const core::SendCall& call, TimeUs now);
 
 // Interprets a complete answer to a call of the given kind; nullopt if it breaks the protocol. `rows` is its
 // body; `whole_rows` says whether that consists of complete rows.
--- a/src/http/response_parser.cpp
+++ b/src/http/response_parser.cpp
@@ -59,7 +59,7 @@
   begun_ = begun_ || !bytes.empty();
   while (state_ == State::kStatus || state_ == State::kHeaders) {
     std::string line;
-    if (!take_line(bytes, line)) return state_ == State::kBroken ? Result::kBroken : Result::kMore;
+    if (!take_line(bytes, line)) return state_ == State::kBroken ? Result::kBroken : Result::kNeedMore;
     if (state_ == State::kStatus) {
       if (!read_status(line)) return fail();
       state_ = State::kHeaders;
@@ -78,7 +78,7 @@
     if (body_bytes_left_ == 0) state_ = State::kDone;
     return Result::kBody;
   }
-  return state_ == State::kDone ? Result::kDone : Result::kMore;
+  return state_ == State::kDone ? Result::kDone : Result::kNeedMore;
 }
 
 // Reads a line, without its CRLF, into `line`. Returns false if more bytes are needed, or, in state kBroken,
@@ -109,7 +109,7 @@
   const std::string_view text = line;
   if (text.size() < 12 || text.substr(0, 7) != "HTTP/1.") return false;
   if ((text[7] != '0' && text[7] != '1') || text[8] != ' ') return false;
-  const auto status = core::parse_whole<int>(text.substr(9, 3));
+  const auto status = core::parse_integer<int>(text.substr(9, 3));
   if (!status || *status < 100) return false;
   head_.status = *status;
   if (text.size() > 12 && text[12] != ' ') return false;
@@ -126,7 +126,7 @@
   if (name == "transfer-encoding") return false;  // the body's length must be known
   if (name == "connection" && lower(value) == "close") head_.keep_alive = false;
   if (name == "content-length") {
-    const auto length = core::parse_whole<std::size_t>(value);
+    const auto length = core::parse_integer<std::size_t>(value);
     if (!length || *length > max_body_bytes_) return false;
     if (content_length_ && *content_length_ != *length) return false;
     content_length_ = length;
--- a/src/http/response_parser.h
+++ b/src/http/response_parser.h
@@ -22,10 +22,10 @@
 class ResponseParser {
  public:
   enum class Result {
-    kMore,    // all bytes are consumed and the response is not complete
-    kBody,    // piece() holds the next bytes of the body
-    kDone,    // the response is complete; bytes after it are left in the input
-    kBroken,  // the response breaks the protocol or exceeds a bound
+    kNeedMore,  // all bytes are consumed and the response is not complete
+    kBody,      // piece() holds the next bytes of the body
+    kDone,      // the response is complete; bytes after it are left in the input
+    kBroken,    // the response breaks the protocol or exceeds a bound
   };
 
   explicit ResponseParser(std::size_t max_body_bytes) : max_body_bytes_(max_body_bytes) {}
--- a/src/http/row_check.cpp
+++ b/src/http/row_check.cpp
@@ -9,7 +9,7 @@
 
 }  // namespace
 
-void RowCheck::feed(std::string_view bytes) {
+void RowValidator::feed(std::string_view bytes) {
   for (const char c : bytes) {
     const auto byte = static_cast<unsigned char>(c);
     in_row_ = c != '\n';
--- a/src/http/row_check.h
+++ b/src/http/row_check.h
@@ -7,11 +7,11 @@
 namespace orchidgw::http {
 
 // Detects noise in place of rows and truncated rows behind a response head that is valid.
-class RowCheck {
+class RowValidator {
  public:
   void feed(std::string_view bytes);
   // True if all bytes so far are complete rows, also without any.
-  bool whole() const { return valid_so_far_ && !in_row_; }
+  bool valid() const { return valid_so_far_ && !in_row_; }
 
  private:
   bool valid_so_far_ = true;
--- a/src/keeper/keeper.cpp
+++ b/src/keeper/keeper.cpp
@@ -42,7 +42,7 @@
 
   Options options;
   store::LogStore& store;
-  fleet::Replica& replica;
+  fleet::StateMachine& replica;
   raft_io io{};
   raft_fsm fsm{};
   raft core{};
@@ -62,7 +62,7 @@
   bool ready_to_lead = false;    // it is the leader, and its barrier entry was applied
   bool barrier_pending = false;  // the barrier entry of this leadership was proposed
   struct raft_barrier barrier {};
-  std::uint64_t finished = 0;
+  std::uint64_t finished_proposals = 0;
   std::optional<raft_io_close_cb> close_done;
   std::map<std::uint64_t, std::uint64_t> uncommitted_terms;  // by index: of entries not known to be committed
   fleet::LogPosition committed;                              // last entry known to be committed
@@ -73,7 +73,7 @@
   };
   std::map<fleet::KeeperId, Follower> followers;  // of this leader
 
-  Impl(const Options& o, store::LogStore& s, fleet::Replica& r)
+  Impl(const Options& o, store::LogStore& s, fleet::StateMachine& r)
       : options(o), store(s), replica(r), random(o.seed) {}
 
   static Impl& of(raft_io* io) { return *static_cast<Impl*>(io->impl); }
@@ -87,7 +87,7 @@
   static int load(raft_io* io, raft_term* term, raft_id* voted_for, raft_snapshot** snapshot,
                   raft_index* first, raft_entry** entries, size_t* n) {
     Impl& self = of(io);
-    const store::Stored stored = self.store.load();
+    const store::StoredLog stored = self.store.load();
     *term = stored.term;
     *voted_for = stored.vote;
     *snapshot = stored.snapshot ? to_raft_snapshot(*stored.snapshot) : nullptr;
@@ -205,7 +205,7 @@
   static int apply(raft_fsm* fsm, const raft_buffer* buffer, void** result) {
     auto& self = *static_cast<Impl*>(fsm->data);
     *result = nullptr;
-    if (const auto entry = thrift::read_entry(bytes_of(*buffer))) self.replica.apply(*entry);
+    if (const auto entry = thrift::decode_entry(bytes_of(*buffer))) self.replica.apply(*entry);
     return 0;
   }
 
@@ -213,14 +213,14 @@
     const auto& self = *static_cast<Impl*>(fsm->data);
     *buffers = static_cast<raft_buffer*>(raft_malloc(sizeof(raft_buffer)));
     if (*buffers == nullptr) return RAFT_NOMEM;
-    (*buffers)[0] = copy_to_raft_buffer(thrift::write_state(self.replica.state()));
+    (*buffers)[0] = copy_to_raft_buffer(thrift::encode_state(self.replica.state()));
     *n = 1;
     return 0;
   }
 
   static int restore(raft_fsm* fsm, raft_buffer* buffer) {
     auto& self = *static_cast<Impl*>(fsm->data);
-    auto state = thrift::read_state(bytes_of(*buffer));
+    auto state = thrift::decode_state(bytes_of(*buffer));
     if (!state) return RAFT_CORRUPT;
     raft_free(buffer->base);
     self.replica.restore(std::move(*state));
@@ -261,7 +261,7 @@
   void start_core() {
     for (const fleet::KeeperId id : options.voters) addresses[id] = address_of(id);
     raft_configuration configuration = voter_configuration(options.voters);
-    const store::Stored found = store.load();
+    const store::StoredLog found = store.load();
     if (found.empty()) {
       const int code = raft_bootstrap(&core, &configuration);
       raft_configuration_close(&configuration);
@@ -270,15 +270,15 @@
     } else {
       raft_configuration_close(&configuration);
     }
-    const store::Stored stored = store.load();
+    const store::StoredLog stored = store.load();
     append_at = stored.first + stored.entries.size();
     if (stored.snapshot) committed = {stored.snapshot->term, stored.snapshot->index};
     for (std::size_t i = 0; i < stored.entries.size(); ++i)
       if (stored.first + i > committed.index) uncommitted_terms[stored.first + i] = stored.entries[i].term;
     raft_set_heartbeat_timeout(&core, options.heartbeat_ms);
     raft_set_election_timeout(&core, options.election_ms);
-    raft_set_snapshot_threshold(&core, options.compact_after);
-    raft_set_snapshot_trailing(&core, options.kept_behind);
+    raft_set_snapshot_threshold(&core, options.snapshot_threshold);
+    raft_set_snapshot_trailing(&core, options.snapshot_trailing);
     raft_set_pre_vote(&core, true);
     raft_set_install_snapshot_timeout(&core, kSnapshotTimeoutElections * options.election_ms);
     check(raft_start(&core), "start");
@@ -306,7 +306,7 @@
 
   static void entry_done(struct raft_apply* raft, int, void*) {
     const std::unique_ptr<Proposal> request(static_cast<Proposal*>(raft->data));
-    ++request->impl->finished;
+    ++request->impl->finished_proposals;
   }
 
   // Runs callbacks until one of them writes to the store: the ones after it have to wait for another commit.
@@ -315,7 +315,7 @@
       const auto next = std::move(after_commit.front());
       after_commit.pop_front();
       next(closed);
-      if (!closed && store.waiting()) return;
+      if (!closed && store.has_pending_writes()) return;
     }
   }
 
@@ -341,14 +341,14 @@
     if (to_raft_message(newer, addresses.at(message.from).c_str(), raft_form)) receive(&io, &raft_form);
   }
 
-  void settle() {
+  void flush() {
     if (!failure.empty()) return;
     try {
       do {
         store.commit();
         run_after_commit(false);
         update_leadership();
-      } while (store.waiting() || !after_commit.empty());
+      } while (store.has_pending_writes() || !after_commit.empty());
     } catch (const std::exception& e) {
       failure = e.what();
       outbox.clear();  // its messages may depend on writes that are not stored
@@ -373,7 +373,7 @@
   std::uint64_t append_at = 1;  // index of the next entry that is stored
 };
 
-std::vector<fleet::KeeperId> voters_of(const store::Stored& stored) {
+std::vector<fleet::KeeperId> voters_in_log(const store::StoredLog& stored) {
   for (auto it = stored.entries.rbegin(); it != stored.entries.rend(); ++it)
     if (it->type == RAFT_CHANGE) return voters_in_entry(it->data);
   std::vector<fleet::KeeperId> out;
@@ -393,7 +393,7 @@
   return out;
 }
 
-Keeper::Keeper(const Options& options, store::LogStore& store, fleet::Replica& replica, TimeUs now)
+Keeper::Keeper(const Options& options, store::LogStore& store, fleet::StateMachine& replica, TimeUs now)
     : impl_(std::make_unique<Impl>(options, store, replica)) {
   impl_->now = now;
   impl_->set_callbacks();
@@ -431,7 +431,7 @@
   impl_->update_leadership();
 }
 
-void Keeper::settle() { impl_->settle(); }
+void Keeper::flush() { impl_->flush(); }
 
 std::vector<fleet::LogMessage> Keeper::take_outbox() { return std::exchange(impl_->outbox, {}); }
 
@@ -453,7 +453,7 @@
   auto request = std::make_unique<Impl::Proposal>();
   request->impl = impl_.get();
   request->raft.data = request.get();
-  const raft_buffer buffer = copy_to_raft_buffer(thrift::write_entry(entry));
+  const raft_buffer buffer = copy_to_raft_buffer(thrift::encode_entry(entry));
   if (raft_apply(&impl_->core, &request->raft, &buffer, 1, Impl::entry_done) != 0) {
     raft_free(buffer.base);
     return false;
@@ -462,13 +462,13 @@
   return true;
 }
 
-fleet::LogStanding Keeper::standing() const {
-  fleet::LogStanding out{term(), impl_->committed, impl_->committed};
+fleet::LogProgress Keeper::log_progress() const {
+  fleet::LogProgress out{term(), impl_->committed, impl_->committed};
   if (!impl_->uncommitted_terms.empty())
     out.last = {impl_->uncommitted_terms.rbegin()->second, impl_->uncommitted_terms.rbegin()->first};
   return out;
 }
 
-std::uint64_t Keeper::finished() const { return impl_->finished; }
+std::uint64_t Keeper::finished_proposals() const { return impl_->finished_proposals; }
 
 }  // namespace orchidgw::keeper
--- a/src/keeper/keeper.h
+++ b/src/keeper/keeper.h
@@ -21,15 +21,15 @@
   unsigned heartbeat_ms = 100;
   unsigned election_ms = 1'000;  // a follower that hears nothing for 1 to 2 times this becomes a candidate
   std::uint64_t seed = 0;        // of the election timeouts
-  unsigned compact_after = 256;  // entries since the last snapshot after which another one is taken
-  unsigned kept_behind = 64;     // entries before a snapshot that are kept, for followers slightly behind
+  unsigned snapshot_threshold = 256;  // entries since the last snapshot after which another one is taken
+  unsigned snapshot_trailing = 64;  // entries before a snapshot that are kept, for followers slightly behind
 };
 
 // The configuration text of a snapshot (StoredSnapshot::configuration) for these voters.
 std::string configuration_of(const std::vector<fleet::KeeperId>& voters);
 
 // The voters by that log: of its newest configuration entry, else of its snapshot. Empty: it has neither.
-std::vector<fleet::KeeperId> voters_of(const store::Stored& stored);
+std::vector<fleet::KeeperId> voters_in_log(const store::StoredLog& stored);
 
 // libraft returned an error while the keeper was set up.
 class KeeperError : public std::runtime_error {
@@ -37,11 +37,11 @@
   using std::runtime_error::runtime_error;
 };
 
-class Keeper final : public fleet::AgreedLog {
+class Keeper final : public fleet::ReplicatedLog {
  public:
   // Continues the log in `store`, or starts a new one if the store is empty. `store` and `replica` are not
   // owned and must outlive this object. Throws KeeperError or StoreError.
-  Keeper(const Options& options, store::LogStore& store, fleet::Replica& replica, TimeUs now);
+  Keeper(const Options& options, store::LogStore& store, fleet::StateMachine& replica, TimeUs now);
   ~Keeper() override;
   Keeper(const Keeper&) = delete;
   Keeper& operator=(const Keeper&) = delete;
@@ -52,7 +52,7 @@
   void receive(const fleet::LogMessage& message);
   // Commits the pending writes of the store, then runs the callbacks that waited for that, until there are
   // none. To be called before `take_outbox`: no message may be sent before what it tells of is durable.
-  void settle();
+  void flush();
   std::vector<fleet::LogMessage> take_outbox();  // removes the messages to be sent
   // Empty, or why this keeper has stopped for good: the store failed, or libraft gave up. A new Keeper may be
   // made on the same store.
@@ -62,8 +62,8 @@
   std::uint64_t term() const override;
   fleet::KeeperId leader() const override;
   bool propose(const fleet::Entry& entry) override;
-  std::uint64_t finished() const override;
-  fleet::LogStanding standing() const;  // how far this keeper's log has come
+  std::uint64_t finished_proposals() const override;
+  fleet::LogProgress log_progress() const;  // how far this keeper's log has come
 
  private:
   struct Impl;
--- a/src/limits/check.cpp
+++ b/src/limits/check.cpp
@@ -37,7 +37,7 @@
   }
 
  private:
-  void fault(Place place, std::string path, std::string why) {
+  void fault(FileLocation place, std::string path, std::string why) {
     faults_.push_back({place, std::move(path), std::move(why)});
   }
 
@@ -95,7 +95,9 @@
   }
 
   static std::string match_without_key(const Match& match) {
-    const auto text = [](const Maybe<std::string>& m) { return m ? "=" + m->value : std::string("*"); };
+    const auto text = [](const OptionalLocated<std::string>& m) {
+      return m ? "=" + m->value : std::string("*");
+    };
     std::string out = text(match.class_name) + '\n' + text(match.tenant) + '\n';
     out += match.table ? (match.table->value.prefix ? "^" : "=") + match.table->value.text : std::string("*");
     return out;
@@ -186,7 +188,7 @@
   // Compares the retry budgets of all routes together with the rules' retry budget (rule 7).
   void check_retry_budgets() {
     if (file_.retries) check_retry_budget(file_.retries->value, file_.retries->place, "retries");
-    if (!settings_.rules.attempts_rationed) return;
+    if (!settings_.rules.has_retry_budget) return;
     double floors = 0;
     const auto check_floor = [&](const Bounds& bounds, const std::string& path) {
       if (!bounds.retries) return;
@@ -195,27 +197,27 @@
     };
     check_floor(file_.defaults, "defaults");
     for (std::size_t i = 0; i < file_.routes.size(); ++i) check_floor(file_.routes[i].bounds, path_of(i));
-    if (!file_.retries && floors > settings_.rules.extra_free + 1e-9)
+    if (!file_.retries && floors > settings_.rules.retry_budget_floor + 1e-9)
       fault(first_retries_place(), "retries",
             "the floors of all routes add up to " + format_number(floors) + ", over the rule's " +
-                format_number(settings_.rules.extra_free) + ": state retries over all routes");
+                format_number(settings_.rules.retry_budget_floor) + ": state retries over all routes");
   }
 
-  void check_retry_budget(const RetryShare& retries, Place place, const std::string& path) {
+  void check_retry_budget(const RetryBudgetSettings& retries, FileLocation place, const std::string& path) {
     const Rules& rules = settings_.rules;
-    if (!rules.attempts_rationed) return;
-    if (retries.share > rules.extra_share + 1e-9)
+    if (!rules.has_retry_budget) return;
+    if (retries.share > rules.retry_budget_share + 1e-9)
       fault(place, path + ".share",
-            "over the rule: a share of " + format_number(rules.extra_share) + " at most");
+            "over the rule: a share of " + format_number(rules.retry_budget_share) + " at most");
     const auto window = static_cast<double>(std::max<TimeUs>(retries.window, 1));
-    const double windows = std::ceil(static_cast<double>(rules.extra_window) / window);
-    if (retries.floor * std::max(windows, 1.0) > rules.extra_free + 1e-9)
+    const double windows = std::ceil(static_cast<double>(rules.retry_budget_window) / window);
+    if (retries.floor * std::max(windows, 1.0) > rules.retry_budget_floor + 1e-9)
       fault(place, path + ".floor",
-            "over the rule: " + format_number(rules.extra_free) + " at most in any " +
-                format_time(rules.extra_window));
+            "over the rule: " + format_number(rules.retry_budget_floor) + " at most in any " +
+                format_time(rules.retry_budget_window));
   }
 
-  Place first_retries_place() const {
+  FileLocation first_retries_place() const {
     if (file_.defaults.retries) return file_.defaults.retries->place;
     for (const Route& route : file_.routes)
       if (route.bounds.retries) return route.bounds.retries->place;
@@ -231,7 +233,7 @@
     for (const ClassSettings& c : settings_.classes) {
       bool open = false;
       bool class_fully_matched = false;  // one of its routes matches what the others leave
-      Place place;
+      FileLocation place;
       std::string path;
       const auto inspect = [&](const Bounds& bounds, const std::string& at) {
         if (!closed(bounds)) {
@@ -274,7 +276,7 @@
   return Checker(settings, file, max_routes).run();
 }
 
-void check_no_fleet(const LimitFile& file, std::vector<Fault>& faults) {
+void check_no_fleet_scope(const LimitFile& file, std::vector<Fault>& faults) {
   const auto inspect = [&faults](const Bounds& b, const std::string& path) {
     const char* why = "scope: fleet needs a fleet: --fleet, or fleetFile of the configuration";
     if (b.rate && b.rate->value.fleet) faults.push_back({b.rate->place, path + "rate.scope", why});
--- a/src/limits/check.h
+++ b/src/limits/check.h
@@ -13,6 +13,6 @@
 std::vector<Fault> check(const Settings& settings, const LimitFile& file, std::size_t max_routes);
 
 // For a controller that belongs to no fleet: appends a fault for each limit with `scope: fleet`.
-void check_no_fleet(const LimitFile& file, std::vector<Fault>& faults);
+void check_no_fleet_scope(const LimitFile& file, std::vector<Fault>& faults);
 
 }  // namespace orchidgw::limits
--- a/src/limits/check_bounds.cpp
+++ b/src/limits/check_bounds.cpp
@@ -26,7 +26,7 @@
 
  private:
   template <typename T>
-  void fault(const Maybe<T>& stated_limit, const char* field, std::string why) {
+  void fault(const OptionalLocated<T>& stated_limit, const char* field, std::string why) {
     faults_.push_back({stated_limit->place, route_.path + "." + field, std::move(why)});
   }
 
@@ -43,7 +43,7 @@
 
   // A time beyond every class's deadline could never take effect, since clients do not wait that long.
   template <typename T>
-  void check_within_deadline(const Maybe<T>& time, const char* field) {
+  void check_within_deadline(const OptionalLocated<T>& time, const char* field) {
     const TimeUs longest = longest_deadline();
     if (time && longest > 0 && time->value > longest)
       fault(time, field, "longer than the clients' deadline of " + format_time(longest));
@@ -55,8 +55,8 @@
     check_within_deadline(own_.longest_hold, "longest_hold");
     if (!effective_.timeout) return;
     const TimeUs timeout = effective_.timeout->value;
-    const auto check_below_timeout = [&](const Maybe<TimeUs>& bound, const Maybe<TimeUs>& stated,
-                                         const char* field) {
+    const auto check_below_timeout = [&](const OptionalLocated<TimeUs>& bound,
+                                         const OptionalLocated<TimeUs>& stated, const char* field) {
       if (!bound || bound->value < timeout) return;
       const auto& stated_limit = stated ? stated : own_.timeout;
       if (stated_limit)
@@ -96,7 +96,7 @@
     for (const ClassSettings* c : route_.classes) {
       if (c->effect == Effect::kAtMostOnce)
         fault(stated_limit, "second_copy", "the class '" + c->name + "' forbids repeats");
-      if (c->in_order)
+      if (c->serial_by_key)
         fault(stated_limit, "second_copy", "the class '" + c->name + "' keeps an order: no copies");
     }
     const SecondCopy& copy = stated_limit->value;
@@ -147,8 +147,8 @@
   void check_admission() {
     if (own_.concurrency && own_.concurrency->value.least > own_.concurrency->value.most)
       fault(own_.concurrency, "concurrency.least", "above concurrency.most");
-    if (own_.line && !effective_.rate && !effective_.concurrency)
-      fault(own_.line, "line", "has no effect: neither a rate nor a concurrency is stated");
+    if (own_.queue_size && !effective_.rate && !effective_.concurrency)
+      fault(own_.queue_size, "line", "has no effect: neither a rate nor a concurrency is stated");
   }
 
   const Settings& settings_;
--- a/src/limits/explain.cpp
+++ b/src/limits/explain.cpp
@@ -20,7 +20,7 @@
   Explainer(const Settings& settings, const ClassSettings& c, const RouteLimits& route)
       : settings_(settings), class_(c), route_(route), bounds_(route.bounds) {}
 
-  std::vector<Explained> run() {
+  std::vector<ExplainedLimit> run() {
     timeouts();
     attempts();
     second_copy();
@@ -34,12 +34,12 @@
     out_.push_back({field, std::move(value), std::move(set_by)});
   }
 
-  std::string file_line(Place place) const {
+  std::string file_line(FileLocation place) const {
     return "file, line " + std::to_string(place.line) + ", for route '" + route_.name + "'";
   }
 
   template <typename T, typename Text>
-  void add_bound(const char* field, const Maybe<T>& bound, Text text, const char* default_value,
+  void add_bound(const char* field, const OptionalLocated<T>& bound, Text text, const char* default_value,
                  const char* set_by) {
     if (bound) return add(field, text(bound->value), file_line(bound->place));
     add(field, default_value, set_by);
@@ -107,18 +107,19 @@
     add_bound("rate", bounds_.rate, rate, "unbounded", "nothing states one");
     if (bounds_.rate || bounds_.concurrency)
       add_bound(
-          "line", bounds_.line, [](int n) { return std::to_string(n); }, "64", "the program");
+          "line", bounds_.queue_size, [](int n) { return std::to_string(n); }, "64", "the program");
   }
 
   void retry_budget() {
-    const auto text = [](const RetryShare& r) {
+    const auto text = [](const RetryBudgetSettings& r) {
       return format_number(r.floor) + " + " + format_number(r.share) + " x queries in " +
              format_time(r.window);
     };
     add_bound("retries", bounds_.retries, text, "unbounded by the route", "nothing states one");
     const Rules& rules = settings_.rules;
-    if (rules.attempts_rationed)
-      add("retries of all routes", text({rules.extra_share, rules.extra_free, rules.extra_window}),
+    if (rules.has_retry_budget)
+      add("retries of all routes",
+          text({rules.retry_budget_share, rules.retry_budget_floor, rules.retry_budget_window}),
           "rule 7: settings, rules.extraRatio and budgetFree");
   }
 
@@ -126,7 +127,7 @@
   const ClassSettings& class_;
   const RouteLimits& route_;
   const Bounds& bounds_;
-  std::vector<Explained> out_;
+  std::vector<ExplainedLimit> out_;
 };
 
 }  // namespace
@@ -138,7 +139,7 @@
   const RouteLimits& route = set != nullptr ? *set->find(class_index, tenant, table, keyed) : none;
   Explanation out{route.name, Explainer(settings, c, route).run()};
   if (set != nullptr && set->retries()) {
-    const RetryShare& r = set->retries()->value;
+    const RetryBudgetSettings& r = set->retries()->value;
     out.limits.push_back(
         {"retries of all routes",
          format_number(r.floor) + " + " + format_number(r.share) + " x queries in " + format_time(r.window),
--- a/src/limits/explain.h
+++ b/src/limits/explain.h
@@ -9,7 +9,7 @@
 
 namespace orchidgw::limits {
 
-struct Explained {
+struct ExplainedLimit {
   std::string field;
   std::string value;
   std::string set_by;  // "file, line 12, for route 'lookups'", "settings: policyLimits.maxAttempts", "rule 2"
@@ -17,7 +17,7 @@
 
 struct Explanation {
   std::string route;
-  std::vector<Explained> limits;
+  std::vector<ExplainedLimit> limits;
 };
 
 // `set`: null without an operator file. The effective limit is the smallest of file, settings and rules.
--- a/src/limits/fleet_share.h
+++ b/src/limits/fleet_share.h
@@ -8,16 +8,16 @@
 
 // Keyed by route name; a route without an entry has a share of zero.
 struct FleetLimits {
-  std::map<std::string, double> rates;  // queries per second
-  std::map<std::string, int> places;    // queries under way at one time
+  std::map<std::string, double> rates;     // queries per second
+  std::map<std::string, int> concurrency;  // queries under way at one time
   bool operator==(const FleetLimits&) const = default;
 };
 
-struct RouteUse {
+struct RouteUsage {
   int under_way = 0;
   int waiting = 0;
   double rate = 0;  // arrivals per second, exponentially decayed
 };
-using FleetUse = std::map<std::string, RouteUse>;
+using FleetUsage = std::map<std::string, RouteUsage>;
 
 }  // namespace orchidgw::limits
--- a/src/limits/limit_set.h
+++ b/src/limits/limit_set.h
@@ -28,13 +28,15 @@
                                                  std::string_view table, bool keyed) const;
 
   const std::vector<std::shared_ptr<const RouteLimits>>& routes() const { return routes_; }  // defaults last
-  const Maybe<RetryShare>& retries() const { return retries_; }  // the budget over all routes
+  const OptionalLocated<RetryBudgetSettings>& retries() const {
+    return retries_;
+  }  // the budget over all routes
   int version() const { return version_; }
 
  private:
   std::vector<std::shared_ptr<const RouteLimits>> routes_;
   RouteTable table_;
-  Maybe<RetryShare> retries_;
+  OptionalLocated<RetryBudgetSettings> retries_;
   int version_;
 };
 
--- a/src/limits/limiter.cpp
+++ b/src/limits/limiter.cpp
@@ -26,7 +26,7 @@
 }
 
 // Latency histograms are kept under any file. Retry budgets and bounds that it no longer states are dropped.
-void Limiter::put_in_force(TimeUs now, std::shared_ptr<const LimitSet> set) {
+void Limiter::activate(TimeUs now, std::shared_ptr<const LimitSet> set) {
   std::unordered_map<std::string, std::shared_ptr<RouteState>> kept_states;
   for (const auto& route : set->routes()) {
     std::shared_ptr<RouteState> state = state_for(route->name);
@@ -53,7 +53,7 @@
   apply_all_bounds(now);
 }
 
-void Limiter::set_fleet(TimeUs now, FleetLimits fleet) {
+void Limiter::set_fleet_limits(TimeUs now, FleetLimits fleet) {
   if (fleet_ && *fleet_ == fleet) return;
   fleet_ = std::move(fleet);
   apply_all_bounds(now);
@@ -68,8 +68,8 @@
   }
 }
 
-FleetUse Limiter::fleet_use(TimeUs now) const {
-  FleetUse out;
+FleetUsage Limiter::fleet_usage(TimeUs now) const {
+  FleetUsage out;
   if (!set_) return out;
   for (const auto& route : set_->routes()) {
     const Bounds& b = route->bounds;
@@ -132,7 +132,7 @@
 Verdict Limiter::enqueue(TimeUs now, QueryId id, Entry& entry, Reason reason) {
   const auto& state = entry.limits->state();
   if (state->waiting >= state->max_queue_size)
-    return refuse(*state, Reason::kLineFull, estimated_wait(now, *state));
+    return refuse(*state, Reason::kQueueFull, estimated_wait(now, *state));
   const TimeUs next_token = state->bucket ? state->bucket->next_token_at() : now;
   const auto time_for_queue_ahead =
       state->bucket ? static_cast<double>(state->waiting) * 1e6 / state->rate->per_second : 0.0;
@@ -175,7 +175,8 @@
   const TimeUs timeout = b.timeout ? std::min(time_budget, b.timeout->value) : time_budget;
   const TimeUs latest = now + std::max<TimeUs>(timeout - kAnswerMargin, 0);
   if (b.longest_hold) return std::min(latest, now + b.longest_hold->value);
-  return std::min(latest, now + settings_.classes[static_cast<std::size_t>(entry.class_index)].aim);
+  return std::min(latest,
+                  now + settings_.classes[static_cast<std::size_t>(entry.class_index)].latency_target);
 }
 
 // Estimates the wait of a new query, in microseconds: the queue's length at the pace of the rate or of the
@@ -195,21 +196,21 @@
   return static_cast<TimeUs>(std::min(wait_us, 1e12));
 }
 
-TimeUs Limiter::time_for(QueryId id, TimeUs time_budget) const {
+TimeUs Limiter::effective_timeout(QueryId id, TimeUs time_budget) const {
   const auto it = queries_.find(id);
   if (it == queries_.end()) return time_budget;
   const auto& timeout = it->second.limits->route().bounds.timeout;
   return timeout ? std::min(time_budget, timeout->value) : time_budget;
 }
 
-std::shared_ptr<const QueryLimits> Limiter::pass_of(QueryId id) const {
+std::shared_ptr<const QueryLimits> Limiter::query_limits(QueryId id) const {
   const auto it = queries_.find(id);
   return it == queries_.end() ? nullptr : it->second.limits;
 }
 
-Reason Limiter::forbidden(QueryId id) const {
+Reason Limiter::retry_denial_reason(QueryId id) const {
   const auto it = queries_.find(id);
-  return it == queries_.end() ? Reason::kNone : it->second.limits->forbidden();
+  return it == queries_.end() ? Reason::kNone : it->second.limits->retry_denial_reason();
 }
 
 // Sets when the route's queue is checked next: at once if a query can leave it, else at the next token.
@@ -224,7 +225,7 @@
   queue_checks_[{state->next_check_at, state->serial}] = state;
 }
 
-std::optional<EndedWait> Limiter::next_release(TimeUs now) {
+std::optional<EndedWait> Limiter::next_ended_wait(TimeUs now) {
   if (auto expired = end_expired_wait(now)) return expired;
   return end_due_wait(now);
 }
@@ -236,7 +237,7 @@
   Entry& entry = it->second;
   const auto state = entry.limits->state();
   const bool has_longest_hold = entry.limits->route().bounds.longest_hold.has_value();
-  const Reason reason = has_longest_hold ? Reason::kHeldTooLong : entry.wait_reason;
+  const Reason reason = has_longest_hold ? Reason::kQueueTimeout : entry.wait_reason;
   leave_queue(entry, id);
   schedule_queue_check(now, state);
   const EndedWait ended_wait{id, refuse(*state, reason, estimated_wait(now, *state))};
@@ -313,7 +314,7 @@
                              state.under_way);
 }
 
-void Limiter::over(TimeUs now, QueryId id) {
+void Limiter::query_ended(TimeUs now, QueryId id) {
   const auto it = queries_.find(id);
   if (it == queries_.end()) return;
   Entry& entry = it->second;
--- a/src/limits/limiter.h
+++ b/src/limits/limiter.h
@@ -27,8 +27,8 @@
 };
 
 struct Verdict {
-  enum class Kind { kLetIn, kWait, kRefuse };
-  Kind kind = Kind::kLetIn;
+  enum class Kind { kAdmit, kWait, kRefuse };
+  Kind kind = Kind::kAdmit;
   Reason reason = Reason::kNone;  // of kWait and kRefuse
   TimeUs retry_after = 0;         // of kRefuse; 0: none is sent to the client
 };
@@ -45,36 +45,36 @@
 
   // Makes `set` the active one. Queries already under way keep the limits that they started with; the state
   // of a route carries over to the route of the same name.
-  void put_in_force(TimeUs now, std::shared_ptr<const LimitSet> set);
-  const LimitSet* in_force() const { return set_.get(); }  // null: none
+  void activate(TimeUs now, std::shared_ptr<const LimitSet> set);
+  const LimitSet* active_set() const { return set_.get(); }  // null: none
   // Multiplies all rates and concurrency limits by `scale`, above 0 to 1. Reduced service levels use it.
   void set_scale(TimeUs now, double scale);
 
   // Sets this controller's share of the limits that the fleet divides.
-  void set_fleet(TimeUs now, FleetLimits fleet);
-  FleetUse fleet_use(TimeUs now) const;  // usage of those limits, by route name
+  void set_fleet_limits(TimeUs now, FleetLimits fleet);
+  FleetUsage fleet_usage(TimeUs now) const;  // usage of those limits, by route name
 
-  // Decides about a new query. After kWait, next_release() returns its end; after kRefuse nothing is kept.
+  // Decides about a new query. After kWait, next_ended_wait() returns its end; after kRefuse nothing is kept.
   Verdict admit(TimeUs now, const Arrival& arrival);
   // The time limit of the whole query: `time_budget` or the route's timeout, whichever is smaller.
-  TimeUs time_for(QueryId id, TimeUs time_budget) const;
-  std::shared_ptr<const QueryLimits> pass_of(QueryId id) const;  // null: the query is under no limits
+  TimeUs effective_timeout(QueryId id, TimeUs time_budget) const;
+  std::shared_ptr<const QueryLimits> query_limits(QueryId id) const;  // null: the query is under no limits
   // Why the limits last denied the query another attempt; kNone: they did not.
-  Reason forbidden(QueryId id) const;
+  Reason retry_denial_reason(QueryId id) const;
 
   // Returns the next query whose wait has ended by `now`, each one once; nullopt: there is none left.
-  std::optional<EndedWait> next_release(TimeUs now);
-  // When next_release() has to be called next; nullopt: not at any known time.
+  std::optional<EndedWait> next_ended_wait(TimeUs now);
+  // When next_ended_wait() has to be called next; nullopt: not at any known time.
   std::optional<TimeUs> next_due() const;
 
   void attempt_sent(TimeUs now, QueryId id);
   // `expected`: the run time that was estimated for the attempt; 0: unknown.
   void attempt_ended(TimeUs now, QueryId id, OutcomeKind kind, TimeUs latency, TimeUs expected);
   // The query is answered and has no attempt on any engine, or its client disconnected while it was queued.
-  void over(TimeUs now, QueryId id);
+  void query_ended(TimeUs now, QueryId id);
 
-  std::size_t waiting() const { return waiting_; }              // queued queries
-  std::size_t under_limits() const { return queries_.size(); }  // queued or under way
+  std::size_t waiting() const { return waiting_; }                     // queued queries
+  std::size_t tracked_query_count() const { return queries_.size(); }  // queued or under way
   // In the order of the file, defaults last. Routes of earlier files are left out, even with queries.
   std::vector<std::shared_ptr<const RouteState>> route_states() const;
 
--- a/src/limits/pass.cpp
+++ b/src/limits/pass.cpp
@@ -53,24 +53,24 @@
 bool RouteQueryLimits::retry_budgets_allow(TimeUs now) const {
   const bool allowed = (!state_->retries || state_->retries->allows_retry(now)) &&
                        (!overall_retry_budget_ || overall_retry_budget_->allows_retry(now));
-  return allowed || deny_retry(Reason::kRetryShare);
+  return allowed || deny_retry(Reason::kRetryBudget);
 }
 
 bool RouteQueryLimits::may_send(TimeUs now, int sent, int in_flight) const {
   if (sent == 0) return true;
   const Bounds& b = route_->bounds;
-  if (b.attempts && sent >= b.attempts->value) return deny_retry(Reason::kAttempts);
+  if (b.attempts && sent >= b.attempts->value) return deny_retry(Reason::kMaxAttempts);
   const bool copies = b.second_copy && b.second_copy->value.when != SecondCopy::When::kNever;
   // If the file does not state second_copy, the settings and the decision module's own rules apply.
-  if (in_flight > 0 && b.second_copy && !copies) return deny_retry(Reason::kAttempts);
+  if (in_flight > 0 && b.second_copy && !copies) return deny_retry(Reason::kMaxAttempts);
   if (in_flight == 0 && now < next_send_at_) return false;
   return retry_budgets_allow(now);
 }
 
 bool RouteQueryLimits::may_follow(TimeUs now, OutcomeKind last, int sent) const {
   const Bounds& b = route_->bounds;
-  if (b.attempts && sent >= b.attempts->value) return deny_retry(Reason::kAttempts);
-  if (b.retry_on && !b.retry_on->value.has(last)) return deny_retry(Reason::kOutcome);
+  if (b.attempts && sent >= b.attempts->value) return deny_retry(Reason::kMaxAttempts);
+  if (b.retry_on && !b.retry_on->value.has(last)) return deny_retry(Reason::kOutcomeNotRetried);
   return retry_budgets_allow(now);
 }
 
@@ -84,7 +84,7 @@
   return hold ? std::min(last, accepted_at_ + hold->value) : last;
 }
 
-bool RouteQueryLimits::copy_due(TimeUs now, TimeUs sent_at, int sent) const {
+bool RouteQueryLimits::second_copy_due(TimeUs now, TimeUs sent_at, int sent) const {
   const Bounds& b = route_->bounds;
   if (!class_allows_repeats_ || sent != 1 || !b.second_copy)
     return false;  // one copy at most: a third attempt would only add load
--- a/src/limits/pass.h
+++ b/src/limits/pass.h
@@ -31,10 +31,10 @@
   TimeUs next_send_at() const override { return next_send_at_; }
   TimeUs stop_at(TimeUs now, TimeUs deadline) const override;
   TimeUs hold_until(TimeUs last) const override;
-  bool copy_due(TimeUs now, TimeUs sent_at, int sent) const override;
+  bool second_copy_due(TimeUs now, TimeUs sent_at, int sent) const override;
 
   // Why another attempt was last denied; kNone: it never was.
-  Reason forbidden() const { return retry_denial_reason_; }
+  Reason retry_denial_reason() const { return retry_denial_reason_; }
 
  private:
   bool retry_budgets_allow(TimeUs now) const;
--- a/src/limits/retry_budget.cpp
+++ b/src/limits/retry_budget.cpp
@@ -9,7 +9,7 @@
 
 }  // namespace
 
-RetryBudget::RetryBudget(const RetryShare& settings)
+RetryBudget::RetryBudget(const RetryBudgetSettings& settings)
     : settings_(settings), slot_width_(std::max<TimeUs>((settings.window + kSlots - 1) / kSlots, 1)) {}
 
 RetryBudget::Slot& RetryBudget::slot_at(TimeUs now) {
@@ -34,7 +34,7 @@
   return static_cast<double>(retries) + 1 <= allowed + kRoundingTolerance;
 }
 
-void RetryBudget::reconfigure(TimeUs now, const RetryShare& settings) {
+void RetryBudget::reconfigure(TimeUs now, const RetryBudgetSettings& settings) {
   if (settings.window == settings_.window) {
     settings_ = settings;
     return;
--- a/src/limits/retry_budget.h
+++ b/src/limits/retry_budget.h
@@ -12,12 +12,12 @@
 
 class RetryBudget {
  public:
-  explicit RetryBudget(const RetryShare& settings);
+  explicit RetryBudget(const RetryBudgetSettings& settings);
 
-  const RetryShare& settings() const { return settings_; }
+  const RetryBudgetSettings& settings() const { return settings_; }
   // Retries already spent stay spent. If the window's length changes, they count as spent now and the
   // admitted queries are forgotten, so that the budget can only be too strict.
-  void reconfigure(TimeUs now, const RetryShare& settings);
+  void reconfigure(TimeUs now, const RetryBudgetSettings& settings);
 
   void record_query(TimeUs now) { ++slot_at(now).queries; }
   void record_retry(TimeUs now) { ++slot_at(now).retries; }
@@ -33,7 +33,7 @@
   std::int64_t slot_number_at(TimeUs now) const { return now / slot_width_; }
   Slot& slot_at(TimeUs now);
 
-  RetryShare settings_;
+  RetryBudgetSettings settings_;
   TimeUs slot_width_;
   std::array<Slot, kSlots + 2> slots_;
 };
--- a/src/limits/route.h
+++ b/src/limits/route.h
@@ -13,27 +13,27 @@
 namespace orchidgw::limits {
 
 // A location in the operator file, line and column counted from 1; 0: stated nowhere.
-struct Place {
+struct FileLocation {
   int line = 0;
   int column = 0;
 };
 
 // An error in the operator file.
 struct Fault {
-  Place place;
+  FileLocation place;
   std::string path;  // like routes[2].second_copy.after
   std::string why;
 };
 
 // A value with the location where the file states it.
 template <typename T>
-struct Stated {
+struct Located {
   T value{};
-  Place place;
+  FileLocation place;
 };
 // Without a value: the file does not state it.
 template <typename T>
-using Maybe = std::optional<Stated<T>>;
+using OptionalLocated = std::optional<Located<T>>;
 
 // Whether a query has to carry an idempotency key.
 enum class KeyMatch { kAny, kGiven, kAbsent };
@@ -47,10 +47,10 @@
 
 // Which queries a route matches; a criterion that is not stated matches all.
 struct Match {
-  Maybe<std::string> class_name;
-  Maybe<std::string> tenant;
-  Maybe<TablePattern> table;
-  Maybe<KeyMatch> key;
+  OptionalLocated<std::string> class_name;
+  OptionalLocated<std::string> tenant;
+  OptionalLocated<TablePattern> table;
+  OptionalLocated<KeyMatch> key;
   KeyMatch key_or_any() const { return key ? key->value : KeyMatch::kAny; }
 };
 
@@ -103,7 +103,7 @@
 };
 
 // Limit of a retry budget: in any window at most floor + share x the queries admitted in that window.
-struct RetryShare {
+struct RetryBudgetSettings {
   double share = 0;
   double floor = 0;
   TimeUs window = 10'000'000;
@@ -111,17 +111,17 @@
 
 // The limits of a route. One that is not stated comes from the route it is like, else from the defaults.
 struct Bounds {
-  Maybe<TimeUs> timeout;          // of the whole query, from its acceptance
-  Maybe<TimeUs> attempt_timeout;  // of each attempt, from when it is sent
-  Maybe<TimeUs> longest_hold;     // longest wait before the first attempt
-  Maybe<int> attempts;            // maximum number of all attempts, second copies included
-  Maybe<SecondCopy> second_copy;
-  Maybe<BackOff> back_off;
-  Maybe<RetryOn> retry_on;
-  Maybe<Concurrency> concurrency;
-  Maybe<Rate> rate;
-  Maybe<int> line;  // maximum number of queries in the route's queue
-  Maybe<RetryShare> retries;
+  OptionalLocated<TimeUs> timeout;          // of the whole query, from its acceptance
+  OptionalLocated<TimeUs> attempt_timeout;  // of each attempt, from when it is sent
+  OptionalLocated<TimeUs> longest_hold;     // longest wait before the first attempt
+  OptionalLocated<int> attempts;            // maximum number of all attempts, second copies included
+  OptionalLocated<SecondCopy> second_copy;
+  OptionalLocated<BackOff> back_off;
+  OptionalLocated<RetryOn> retry_on;
+  OptionalLocated<Concurrency> concurrency;
+  OptionalLocated<Rate> rate;
+  OptionalLocated<int> queue_size;  // maximum number of queries in the route's queue
+  OptionalLocated<RetryBudgetSettings> retries;
 };
 
 // Calls f(to_field, from_field, name) for each limit.
@@ -136,14 +136,14 @@
   f(to.retry_on, from.retry_on, "retry_on");
   f(to.concurrency, from.concurrency, "concurrency");
   f(to.rate, from.rate, "rate");
-  f(to.line, from.line, "line");
+  f(to.queue_size, from.queue_size, "line");
   f(to.retries, from.retries, "retries");
 }
 
 struct Route {
   std::string name;
-  Place place;
-  Maybe<std::string> like;  // name of the route whose limits apply where this one states none
+  FileLocation place;
+  OptionalLocated<std::string> like;  // name of the route whose limits apply where this one states none
   Match match;
   Bounds bounds;
 };
@@ -151,7 +151,7 @@
 // The limits in an operator file as it was read: syntax and types are right, check() has not been called.
 struct LimitFile {
   Bounds defaults;
-  Maybe<RetryShare> retries;  // the budget over all routes
+  OptionalLocated<RetryBudgetSettings> retries;  // the budget over all routes
   std::vector<Route> routes;
 };
 
