--- a/src/limits/route_state.cpp
+++ b/src/limits/route_state.cpp
@@ -7,9 +7,10 @@
 
 // Returns this controller's share of a limit that the fleet divides, any other limit unchanged. The burst is
 // reduced in proportion to the rate, but admits at least one query.
-Maybe<Rate> own_share(const Maybe<Rate>& rate, const std::string& route, const FleetLimits* fleet) {
+OptionalLocated<Rate> own_share(const OptionalLocated<Rate>& rate, const std::string& route,
+                                const FleetLimits* fleet) {
   if (!rate || !rate->value.fleet) return rate;
-  Maybe<Rate> out = rate;
+  OptionalLocated<Rate> out = rate;
   const auto it =
       fleet != nullptr ? fleet->rates.find(route) : std::map<std::string, double>::const_iterator{};
   const double share = fleet != nullptr && it != fleet->rates.end() ? it->second : 0;
@@ -19,30 +20,32 @@
   return out;
 }
 
-Maybe<Concurrency> own_share(const Maybe<Concurrency>& bound, const std::string& route,
-                             const FleetLimits* fleet) {
+OptionalLocated<Concurrency> own_share(const OptionalLocated<Concurrency>& bound, const std::string& route,
+                                       const FleetLimits* fleet) {
   if (!bound || !bound->value.fleet) return bound;
-  Maybe<Concurrency> out = bound;
-  const auto it = fleet != nullptr ? fleet->places.find(route) : std::map<std::string, int>::const_iterator{};
-  out->value.most = fleet != nullptr && it != fleet->places.end() ? it->second : 0;
+  OptionalLocated<Concurrency> out = bound;
+  const auto it =
+      fleet != nullptr ? fleet->concurrency.find(route) : std::map<std::string, int>::const_iterator{};
+  out->value.most = fleet != nullptr && it != fleet->concurrency.end() ? it->second : 0;
   out->value.least = std::min(out->value.least, out->value.most);
   return out;
 }
 
-void set_rate(RouteState& state, TimeUs now, const Maybe<Rate>& rate) {
+void set_rate(RouteState& state, TimeUs now, const OptionalLocated<Rate>& rate) {
   const bool first_rate = !state.rate;
   state.rate.reset();
   if (rate) state.rate = rate->value;
   if (!rate || rate->value.per_second <= 0) return state.bucket.reset();
   const bool fleet = rate->value.fleet;
   if (state.bucket)
-    return fleet ? state.bucket->change_level(now, rate->value) : state.bucket->reconfigure(rate->value);
+    return fleet ? state.bucket->change_keeping_tokens(now, rate->value)
+                 : state.bucket->reconfigure(rate->value);
   state.bucket.emplace(rate->value);
   // Without this, each lease that follows a time without one would bring a full bucket.
   if (fleet && !first_rate) state.bucket->drain(now);
 }
 
-void set_concurrency(RouteState& state, const Maybe<Concurrency>& concurrency) {
+void set_concurrency(RouteState& state, const OptionalLocated<Concurrency>& concurrency) {
   state.concurrency.reset();
   if (concurrency) state.concurrency = concurrency->value;
   if (!concurrency || !concurrency->value.adaptive()) return state.adaptive.reset();
@@ -50,7 +53,7 @@
   state.adaptive.emplace(concurrency->value);
 }
 
-void set_retries(RouteState& state, TimeUs now, const Maybe<RetryShare>& retries) {
+void set_retries(RouteState& state, TimeUs now, const OptionalLocated<RetryBudgetSettings>& retries) {
   if (!retries) return state.retries.reset();
   if (state.retries) return state.retries->reconfigure(now, retries->value);
   state.retries = std::make_unique<RetryBudget>(retries->value);
@@ -60,9 +63,9 @@
 
 void apply_bounds(RouteState& state, TimeUs now, const Bounds& bounds, double scale,
                   const FleetLimits* fleet) {
-  Maybe<Rate> rate = own_share(bounds.rate, state.name, fleet);
+  OptionalLocated<Rate> rate = own_share(bounds.rate, state.name, fleet);
   if (rate) rate->value.per_second *= scale;
-  Maybe<Concurrency> concurrency = own_share(bounds.concurrency, state.name, fleet);
+  OptionalLocated<Concurrency> concurrency = own_share(bounds.concurrency, state.name, fleet);
   if (concurrency && concurrency->value.most > 0) {
     Concurrency& c = concurrency->value;
     c.most = std::max(1, static_cast<int>(c.most * scale));
@@ -71,7 +74,7 @@
   set_rate(state, now, rate);
   set_concurrency(state, concurrency);
   set_retries(state, now, bounds.retries);
-  state.max_queue_size = bounds.line ? bounds.line->value : kDefaultQueueSize;
+  state.max_queue_size = bounds.queue_size ? bounds.queue_size->value : kDefaultQueueSize;
 }
 
 }  // namespace orchidgw::limits
--- a/src/limits/token_bucket.h
+++ b/src/limits/token_bucket.h
@@ -17,7 +17,7 @@
 
   // Changes rate and burst, but keeps the number of tokens: a larger bucket gains none, a smaller one drops
   // the excess. For a fleet's shares: tokens that another controller's bucket gave up never exist twice.
-  void change_level(TimeUs now, const Rate& rate) {
+  void change_keeping_tokens(TimeUs now, const Rate& rate) {
     const double missing = static_cast<double>(std::max<TimeUs>(full_at_ - now, 0)) / token_interval_us();
     const double tokens = std::min(rate_.burst - missing, rate.burst);
     rate_ = rate;
--- a/src/log/log.cpp
+++ b/src/log/log.cpp
@@ -108,12 +108,12 @@
 
 Logger::Logger(std::ostream& out, Level max_level, std::string name)
     : out_(out), name_(std::move(name)), sink_(std::make_unique<Sink>(out)) {
-  choose({max_level, Format::kText, {}});
+  configure({max_level, Format::kText, {}});
 }
 
 Logger::~Logger() = default;
 
-void Logger::choose(const Choice& choice) {
+void Logger::configure(const LogOptions& choice) {
   choice_ = choice;
   sink_->set_format(choice.format);
 }
--- a/src/log/log.h
+++ b/src/log/log.h
@@ -30,7 +30,7 @@
 };
 
 // Which lines are written, and in which format; may be changed at run time.
-struct Choice {
+struct LogOptions {
   Level level = Level::kInfo;
   Format format = Format::kText;
   std::array<std::optional<Level>, kComponents> components;  // where a component has another level
@@ -46,7 +46,7 @@
   Logger& operator=(const Logger&) = delete;
 
   // From now on; counts of suppressed repeats are written first.
-  void choose(const Choice& choice);
+  void configure(const LogOptions& choice);
   // Whether a line of this level and component would be written.
   bool on(Level level, Component component = Component::kNet) const;
   void write(Level level, std::string_view text) { write(level, Component::kNet, text); }
@@ -60,7 +60,7 @@
   class Sink;
   std::ostream& out_;
   std::string name_;
-  Choice choice_;
+  LogOptions choice_;
   std::unique_ptr<Sink> sink_;
 };
 
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -50,7 +50,7 @@
           return orchidgw::configuration::load(sources, &running);
         });
     if (configuration_.fleet) join_fleet();
-    if (!sources.intents.empty()) controller_->open_intents(sources.intents);
+    if (!sources.intents.empty()) controller_->open_intent_store(sources.intents);
     if (!sources.admin.empty()) controller_->open_admin(sources.admin);
     // Last: if a later step of the start failed, clients already accepted would lose their requests.
     orchidgw::net::listen_on(listener_fd, listen);
@@ -63,7 +63,7 @@
  private:
   void join_fleet() {
     orchidgw::Descriptor listener;
-    if (const auto* keeper = configuration_.fleet->keeper_named(configuration_.controller.name))
+    if (const auto* keeper = configuration_.fleet->find_keeper(configuration_.controller.name))
       listener = orchidgw::net::listen_at(keeper->address);
     controller_->join_fleet(configuration_, listener.release());
   }
@@ -76,7 +76,7 @@
 };
 
 int serve(const Sources& sources) {
-  orchidgw::net::hold_signals();
+  orchidgw::net::block_signals();
   std::unique_ptr<Service> service;
   const auto result =
       orchidgw::net::start_with_retries([&] { service = std::make_unique<Service>(sources); });
--- a/src/metrics/counters.cpp
+++ b/src/metrics/counters.cpp
@@ -29,8 +29,8 @@
 
 }  // namespace
 
-void print(const Counters& counters, const Names& names, std::ostream& out) {
-  print_line(out, "queries.taken", counters.taken);
+void print(const Counters& counters, const CounterNames& names, std::ostream& out) {
+  print_line(out, "queries.taken", counters.accepted_queries);
   print_line(out, "queries.served", counters.served);
   print_line(out, "queries.refused", counters.refused);
   print_line(out, "queries.failed", counters.failed);
@@ -58,7 +58,7 @@
   print_non_zero(out, "client_ends", counters.client_ends, names.end);
   print_non_zero(out, "engine_ends", counters.engine_ends, names.end);
   print_non_zero(out, "change_log_ends", counters.change_log_ends, names.end);
-  print_line(out, "connections.accepted", counters.accepted);
+  print_line(out, "connections.accepted", counters.accepted_connections);
   print_line(out, "connections.connected", counters.connected);
   print_line(out, "connections.reused", counters.reused);
   print_line(out, "connections.clients", counters.clients);
@@ -89,11 +89,11 @@
   print_line(out, "loop.late_turns", counters.late_turns);
   print_line(out, "loop.reads_paused", counters.reads_paused);
   print_line(out, "loop.accepts_paused", counters.accepts_paused);
-  print_line(out, "loop.timer_lateness", counters.timers);
-  print_line(out, "loop.turn_length", counters.turn);
-  print_line(out, "loop.read_lateness", counters.reads);
-  print_line(out, "loop.reducer_time", counters.reducer);
-  print_line(out, "engines.connect_time", counters.connects);
+  print_line(out, "loop.timer_lateness", counters.timer_lateness);
+  print_line(out, "loop.turn_length", counters.turn_length);
+  print_line(out, "loop.read_lateness", counters.read_lateness);
+  print_line(out, "loop.reducer_time", counters.reducer_time);
+  print_line(out, "engines.connect_time", counters.connect_time);
   out << std::flush;
 }
 
--- a/src/metrics/counters.h
+++ b/src/metrics/counters.h
@@ -37,12 +37,12 @@
 
 // Sizes of the arrays of counters. The core defines the enumerations that index them and checks that they
 // fit.
-inline constexpr std::size_t kOutcomesMost = 8;
-inline constexpr std::size_t kEndsMost = 24;
-inline constexpr std::size_t kDenialsMost = 10;
+inline constexpr std::size_t kMaxOutcomes = 8;
+inline constexpr std::size_t kMaxConnectionEnds = 24;
+inline constexpr std::size_t kMaxDenials = 10;
 
 // Functions of the core that name the indexes of the arrays. They return null for an index without a meaning.
-struct Names {
+struct CounterNames {
   const char* (*outcome)(std::size_t) = nullptr;
   const char* (*end)(std::size_t) = nullptr;
   const char* (*denial)(std::size_t) = nullptr;
@@ -50,7 +50,7 @@
 
 struct Counters {
   // Queries.
-  std::uint64_t taken = 0;
+  std::uint64_t accepted_queries = 0;
   std::uint64_t served = 0;
   std::uint64_t refused = 0;
   std::uint64_t failed = 0;
@@ -61,24 +61,24 @@
   std::array<std::uint64_t, kReasonCount> refusals{};  // by reason
   // Attempts and calls.
   std::uint64_t sent = 0;
-  std::array<std::uint64_t, kOutcomesMost> outcomes{};
+  std::array<std::uint64_t, kMaxOutcomes> outcomes{};
   std::uint64_t calls = 0;
   Gauge open_calls;
   std::uint64_t asked_again = 0;
   std::uint64_t unconfirmed = 0;  // cancelled without a confirmation by the engine
   // Attempts withdrawn just before their first byte was sent, by reason (Denial of
   // src/decision/permission.h).
-  std::array<std::uint64_t, kDenialsMost> starts_denied{};
+  std::array<std::uint64_t, kMaxDenials> starts_denied{};
   // Forbidden actions that the decision module asked for, by reason. They are not carried out; any count is a
   // bug.
-  std::array<std::uint64_t, kDenialsMost> violations{};
+  std::array<std::uint64_t, kMaxDenials> violations{};
   // Queries without a final answer when their time was over; they were failed for that reason.
   std::uint64_t answers_overdue = 0;
   // Connections.
-  std::array<std::uint64_t, kEndsMost> client_ends{};
-  std::array<std::uint64_t, kEndsMost> engine_ends{};
-  std::array<std::uint64_t, kEndsMost> change_log_ends{};
-  std::uint64_t accepted = 0;
+  std::array<std::uint64_t, kMaxConnectionEnds> client_ends{};
+  std::array<std::uint64_t, kMaxConnectionEnds> engine_ends{};
+  std::array<std::uint64_t, kMaxConnectionEnds> change_log_ends{};
+  std::uint64_t accepted_connections = 0;
   std::uint64_t connected = 0;
   std::uint64_t reused = 0;
   Gauge clients;
@@ -110,14 +110,14 @@
   std::uint64_t late_turns = 0;  // that acted only in the next turn, after the sockets were read
   std::uint64_t reads_paused = 0;
   std::uint64_t accepts_paused = 0;
-  DurationStats timers;
-  DurationStats turn;      // from the start of a turn to its end
-  DurationStats reads;     // from reading an event to acting on it
-  DurationStats reducer;   // spent on one event in the reducer and the decision module
-  DurationStats connects;  // to establish a connection to an engine
+  DurationStats timer_lateness;
+  DurationStats turn_length;    // from the start of a turn to its end
+  DurationStats read_lateness;  // from reading an event to acting on it
+  DurationStats reducer_time;   // spent on one event in the reducer and the decision module
+  DurationStats connect_time;   // to establish a connection to an engine
 };
 
 // Writes a line for each counter, without zeros of most arrays, and flushes.
-void print(const Counters& counters, const Names& names, std::ostream& out);
+void print(const Counters& counters, const CounterNames& names, std::ostream& out);
 
 }  // namespace orchidgw::metrics
--- a/src/net/admin_socket.cpp
+++ b/src/net/admin_socket.cpp
@@ -58,7 +58,7 @@
     throw_error(path, "another process listens there");
   }
   const SystemCallError error(SystemCall::kSocket, errno, path);
-  if (error.may_pass()) throw error;
+  if (error.is_transient()) throw error;
   if (errno == ECONNREFUSED) ::unlink(path.c_str());
 }
 
@@ -93,13 +93,13 @@
   void close() { channel_.close(); }
 
   void on_readable() override {
-    char bytes[admin::kLineMost];
+    char bytes[admin::kMaxLineLength];
     const ssize_t n = ::read(channel_.fd(), bytes, sizeof bytes);
     if (n < 0 && (errno == EAGAIN || errno == EINTR)) return;
     if (n <= 0) return owner_.remove(this);
     line_.append(bytes, static_cast<std::size_t>(n));
     const auto end = line_.find('\n');
-    if (end == std::string::npos && line_.size() < admin::kLineMost) return;
+    if (end == std::string::npos && line_.size() < admin::kMaxLineLength) return;
     const std::string answer =
         end == std::string::npos ? "error: the line is too long\n" : owner_.answer_(line_.substr(0, end));
     // A few hundred bytes fit the send buffer of a new connection; if they do not, it is closed unanswered.
@@ -150,7 +150,7 @@
                                [&](const auto& c) { return c.get() == connection; });
   if (it == connections_.end()) return;
   (*it)->close();
-  context_.closed.push_back(*it);
+  context_.pending_destruction.push_back(*it);
   connections_.erase(it);
 }
 
--- a/src/net/attention.h
+++ b/src/net/attention.h
@@ -8,13 +8,13 @@
 
 namespace orchidgw::net {
 
-class Attention {
+class StallTracker {
  public:
   // Begins a turn at `now` (monotonic time). The time since the turn was expected, less `kTolerance`, counts
   // as stalled. True if the turn is late and has to act on nothing: that is left to the next one, which
   // comes after the sockets are read. Never true twice in a row: a process that is always late would only
   // read.
-  bool turn_begins(TimeUs now) {
+  bool begin_turn(TimeUs now) {
     const TimeUs lateness =
         expected_turn_at_ > 0 ? std::max<TimeUs>(now - expected_turn_at_ - kTolerance, 0) : 0;
     stalled_time_ += lateness;
@@ -25,14 +25,14 @@
   }
 
   // Ends the turn; the loop waits at most `wait` (us) before the next one.
-  void loop_waits(TimeUs wait) { expected_turn_at_ += wait; }
+  void end_turn(TimeUs wait) { expected_turn_at_ += wait; }
 
   // How late the current turn began, in us.
-  TimeUs late() const { return turn_lateness_; }
+  TimeUs turn_lateness() const { return turn_lateness_; }
 
   // Sum of all stalls so far, in us. Time-outs that leave it out do not charge this process's stalls to the
   // peer.
-  TimeUs lost() const { return stalled_time_; }
+  TimeUs stalled_time() const { return stalled_time_; }
 
  private:
   // Turns take, and timers are late by, up to so much without a stall.
--- a/src/net/buffer_pool.cpp
+++ b/src/net/buffer_pool.cpp
@@ -40,7 +40,7 @@
 
 void BufferChain::append(std::string_view bytes) {
   while (!bytes.empty()) {
-    const std::span<char> free = room();
+    const std::span<char> free = writable_span();
     const std::size_t n = std::min(free.size(), bytes.size());
     std::memcpy(free.data(), bytes.data(), n);
     commit(n);
@@ -55,7 +55,7 @@
   other.size_ = 0;
 }
 
-std::span<char> BufferChain::room() {
+std::span<char> BufferChain::writable_span() {
   if (links_.empty() || links_.back().end == kBufferBytes) links_.emplace_back().block = pool_->acquire();
   Link& last = links_.back();
   return {last.block->data() + last.end, kBufferBytes - last.end};
--- a/src/net/buffer_pool.h
+++ b/src/net/buffer_pool.h
@@ -65,7 +65,7 @@
 
   void append(std::string_view bytes);
   void append(BufferChain&& other);  // moves the other's buffers here, without a copy
-  std::span<char> room();            // free space at the end, at least one byte
+  std::span<char> writable_span();   // free space at the end, at least one byte
   void commit(std::size_t bytes);    // this many bytes were written into writable_span()
 
   std::string_view front() const;   // the first contiguous bytes; empty if the chain is
--- a/src/net/change_log.cpp
+++ b/src/net/change_log.cpp
@@ -31,7 +31,7 @@
 
 }  // namespace
 
-ChangeLog::ChangeLog(Context& context, core::Address address, const config::FleetChanges& known,
+ChangeLog::ChangeLog(Context& context, core::Address address, const config::EngineListEvents& known,
                      ChangeLogOptions options)
     : context_(context),
       address_(std::move(address)),
@@ -47,7 +47,7 @@
   post_changes(known, true);
 }
 
-void ChangeLog::post_changes(const config::FleetChanges& changes, bool is_initial_list) {
+void ChangeLog::post_changes(const config::EngineListEvents& changes, bool is_initial_list) {
   bool first = is_initial_list;
   for (const auto& change : changes.changes) {
     // Events that the log repeats are skipped by their number.
@@ -73,7 +73,7 @@
       starts_.forget(id);
       continue;
     }
-    listing.entry.started_at = starts_.instant_of(id, *listing.up_since, wall_now(), monotonic_now());
+    listing.entry.started_at = starts_.start_time_of(id, *listing.up_since, wall_now(), monotonic_now());
     listed.insert(id);
   }
   if (full_list) starts_.keep_only(listed);
@@ -82,13 +82,13 @@
 void ChangeLog::check(TimeUs now) {
   if (now < next_due()) return;
   if (state_ == State::kClosed) return connect(now);
-  end(state_ == State::kConnecting ? ConnectionEnd::kNotUpInTime : ConnectionEnd::kSilent);
+  end(state_ == State::kConnecting ? ConnectionEnd::kConnectTimeout : ConnectionEnd::kSilent);
 }
 
 // Guards against waiting on the old address, which keeps its connections open for a while without sending any
 // further events.
-void ChangeLog::change_address(core::Address address, const config::FleetChanges& known) {
-  end(ConnectionEnd::kMoved);
+void ChangeLog::change_address(core::Address address, const config::EngineListEvents& known) {
+  end(ConnectionEnd::kAddressChanged);
   address_ = std::move(address);
   post_changes(known, false);
   last_backoff_ = 0;
@@ -96,7 +96,7 @@
 }
 
 void ChangeLog::connect(TimeUs now) {
-  const Connecting connecting = begin_connect(address_);
+  const ConnectResult connecting = begin_connect(address_);
   if (connecting.fd < 0) return end(connecting.end);
   channel_ = std::make_unique<Channel>(context_.reactor, connecting.fd, *this);
   channel_->want_write(true);
@@ -123,7 +123,7 @@
 void ChangeLog::on_writable() {
   if (state_ == State::kAwaitingAnswer) return flush();
   ConnectionEnd end_reason = ConnectionEnd::kUnreachable;
-  if (!connect_came_up(channel_->fd(), end_reason)) return end(end_reason);
+  if (!connect_succeeded(channel_->fd(), end_reason)) return end(end_reason);
   channel_->want_read(true);
   send_watch_request(monotonic_now());
 }
@@ -135,11 +135,11 @@
 
 void ChangeLog::on_readable() {
   BufferChain in(context_.pool);
-  const std::span<char> free_space = in.room();
-  const Moved io_result = read_some(channel_->fd(), free_space);
-  if (io_result.kind == Moved::Kind::kLater) return;
-  if (io_result.kind != Moved::Kind::kBytes)
-    return end(end_with_incomplete_answer(parser_, io_result.kind == Moved::Kind::kReset));
+  const std::span<char> free_space = in.writable_span();
+  const IoResult io_result = read_some(channel_->fd(), free_space);
+  if (io_result.kind == IoResult::Kind::kWouldBlock) return;
+  if (io_result.kind != IoResult::Kind::kBytes)
+    return end(end_with_incomplete_answer(parser_, io_result.kind == IoResult::Kind::kReset));
   context_.counters.change_log_bytes_in += io_result.bytes;
   if (!read_bytes({free_space.data(), io_result.bytes})) end(ConnectionEnd::kUnreadable);
 }
@@ -149,7 +149,7 @@
   using Result = http::ResponseParser::Result;
   const Result result =
       parse_answer_bytes(parser_, bytes, [this](std::string_view piece) { body_.append(piece); });
-  if (result != Result::kDone) return result == Result::kMore;
+  if (result != Result::kDone) return result == Result::kNeedMore;
   return bytes.empty() && on_complete_answer();
 }
 
@@ -157,7 +157,7 @@
 // Guards against waiting for events after a number that such a log will not reach for a long time. The log
 // has to be behind for longer than one that is merely late, whose older list must not replace what the
 // configuration has told since. The last good list stays in use until then.
-bool ChangeLog::detect_log_reset(const config::FleetChanges& changes) {
+bool ChangeLog::detect_log_reset(const config::EngineListEvents& changes) {
   if (changes.last == 0 || changes.last >= last_number_) {
     behind_since_ = 0;
     return false;
@@ -174,7 +174,7 @@
 bool ChangeLog::on_complete_answer() {
   if (parser_.head().status != 200) return false;
   try {
-    const config::FleetChanges changes = config::parse_fleet_changes(body_.text());
+    const config::EngineListEvents changes = config::parse_engine_list_events(body_.text());
     if (detect_log_reset(changes)) return false;
     post_changes(changes, false);
   } catch (const std::exception& e) {
@@ -201,7 +201,7 @@
                      {{"end", name_of(end)}});
   if (channel_) {
     channel_->close();
-    context_.closed.push_back(std::shared_ptr<Channel>(std::move(channel_)));
+    context_.pending_destruction.push_back(std::shared_ptr<Channel>(std::move(channel_)));
   }
   unsent_.clear();
   body_.clear();
--- a/src/net/change_log.h
+++ b/src/net/change_log.h
@@ -29,14 +29,14 @@
 class ChangeLog final : public ChannelHandler {
  public:
   // `known`: the events from the configuration, which are posted to the core at once.
-  ChangeLog(Context& context, core::Address address, const config::FleetChanges& known,
+  ChangeLog(Context& context, core::Address address, const config::EngineListEvents& known,
             ChangeLogOptions options);
 
   void check(TimeUs now);  // enforces time limits and reconnects; to be called when `next_due` is reached
-  TimeUs next_due() const { return due_ + context_.lost; }
+  TimeUs next_due() const { return due_ + context_.stalled_time; }
   // Reconnects to the log at `address`, going on from the last event number. `known`: events from the
   // reloaded configuration, posted to the core at once.
-  void change_address(core::Address address, const config::FleetChanges& known);
+  void change_address(core::Address address, const config::EngineListEvents& known);
   void close() { end(core::ConnectionEnd::kShutDown); }
 
   void on_readable() override;
@@ -51,12 +51,12 @@
   void flush();
   bool read_bytes(std::string_view bytes);  // false: the answer is invalid
   bool on_complete_answer();
-  bool detect_log_reset(const config::FleetChanges& changes);
-  void post_changes(const config::FleetChanges& changes, bool is_initial_list);
+  bool detect_log_reset(const config::EngineListEvents& changes);
+  void post_changes(const config::EngineListEvents& changes, bool is_initial_list);
   void set_start_times(std::vector<core::EngineListing>& engines, bool full_list);
   void end(core::ConnectionEnd end);
   TimeUs next_backoff();
-  void set_due(TimeUs at) { due_ = at - context_.lost; }
+  void set_due(TimeUs at) { due_ = at - context_.stalled_time; }
 
   Context& context_;
   core::Address address_;
--- a/src/net/client_connection.cpp
+++ b/src/net/client_connection.cpp
@@ -38,8 +38,8 @@
     case ConnectionEnd::kIdleExpired:
     case ConnectionEnd::kSilent:
     case ConnectionEnd::kUnreadable:
-    case ConnectionEnd::kTooMuch:
-    case ConnectionEnd::kMadeRoom:
+    case ConnectionEnd::kLimitExceeded:
+    case ConnectionEnd::kEvicted:
     case ConnectionEnd::kShutDown:
       return true;
     default:
@@ -75,37 +75,38 @@
 
 void ClientConnection::read_available() {
   for (int i = 0; i < kMaxReadsPerEvent; ++i) {
-    if (context_.crowded() || is_output_full()) pause();
+    if (context_.under_memory_pressure() || is_output_full()) pause();
     if (!should_read()) return channel_.want_read(false);
     BufferChain in(context_.pool);
-    const std::span<char> room = in.room();
-    const Moved moved = read_some(channel_.fd(), room);
-    if (moved.kind == Moved::Kind::kLater) return;
-    if (moved.kind == Moved::Kind::kClosed) return close(ConnectionEnd::kClosedIdle);
-    if (moved.kind == Moved::Kind::kReset) return close(ConnectionEnd::kResetUnanswered);
+    const std::span<char> writable_span = in.writable_span();
+    const IoResult moved = read_some(channel_.fd(), writable_span);
+    if (moved.kind == IoResult::Kind::kWouldBlock) return;
+    if (moved.kind == IoResult::Kind::kClosed) return close(ConnectionEnd::kClosedIdle);
+    if (moved.kind == IoResult::Kind::kReset) return close(ConnectionEnd::kResetUnanswered);
     context_.counters.client_bytes_in += moved.bytes;
     last_activity_at_ = monotonic_now();
-    if (!parse_frames({room.data(), moved.bytes})) return close_when_answered(ConnectionEnd::kUnreadable);
+    if (!parse_frames({writable_span.data(), moved.bytes}))
+      return close_when_answered(ConnectionEnd::kUnreadable);
     if (!is_open() || closing_end_) return;
-    if (!update_buffered_bytes()) return close_when_answered(ConnectionEnd::kTooMuch);
-    if (moved.bytes < room.size()) return;
+    if (!update_buffered_bytes()) return close_when_answered(ConnectionEnd::kLimitExceeded);
+    if (moved.bytes < writable_span.size()) return;
   }
 }
 
 // Guards against memory filled with unfinished frames: a client that exceeds the common bound is closed.
 bool ClientConnection::update_buffered_bytes() {
   totals_.buffered_bytes -= counted_bytes_;
-  counted_bytes_ = frame_reader_.gathered() + held_bytes_;
+  counted_bytes_ = frame_reader_.buffered_bytes() + held_bytes_;
   totals_.buffered_bytes += counted_bytes_;
   return counted_bytes_ == 0 || totals_.buffered_bytes <= totals_.max_buffered_bytes;
 }
 
 bool ClientConnection::parse_frames(std::string_view bytes) {
   while (!bytes.empty()) {
-    if (has_sent_message_ && !frame_reader_.inside()) frame_started_at_ = last_activity_at_;
+    if (has_sent_message_ && !frame_reader_.in_frame()) frame_started_at_ = last_activity_at_;
     const auto result = frame_reader_.feed(bytes);
     if (result == thrift::FrameReader::Result::kBroken) return false;
-    if (result == thrift::FrameReader::Result::kMore) return true;
+    if (result == thrift::FrameReader::Result::kNeedMore) return true;
     auto call = thrift::read_call(frame_reader_.frame());
     has_sent_message_ = true;
     if (!call) return false;
@@ -119,7 +120,7 @@
 // client is paused its calls are held here, within bounds, and its aborts are passed on. A call beyond the
 // bounds is refused at once: left unread, it would hide an abort behind it.
 void ClientConnection::handle_call(thrift::FrontCall call) {
-  if (call.kind == thrift::FrontCall::Kind::kAbort) return handle_abort(call.aborted);
+  if (call.kind == thrift::FrontCall::Kind::kAbort) return handle_abort(call.aborted_sequence);
   if (!paused_) return dispatch_call(call, Reason::kNone);
   if (!can_hold_more() && reads_for_aborts()) return dispatch_call(call, Reason::kBacklog);
   held_bytes_ += held_call_size(call);
@@ -152,7 +153,7 @@
   return (catching_up_ || !unanswered_.empty()) && output_.size() < kMaxUnsentBytes + kMaxUnsentRefusalBytes;
 }
 
-void ClientConnection::dispatch_call(const thrift::FrontCall& call, Reason refuse_as) {
+void ClientConnection::dispatch_call(const thrift::FrontCall& call, Reason refusal_reason) {
   using Kind = thrift::FrontCall::Kind;
   if (!call.wants_answer) return;  // a client would not understand an answer to a oneway message
   if (call.kind == Kind::kPing) {
@@ -160,7 +161,7 @@
   } else if (call.kind == Kind::kInvoke) {
     unanswered_.insert(call.sequence);
     context_.post(core::RequestArrived{id_, call.sequence, call.request, call.why,
-                                       draining_ ? Reason::kShutDown : refuse_as});
+                                       draining_ ? Reason::kShutDown : refusal_reason});
   } else {
     const auto error = thrift::ApplicationError::kUnknownMethod;
     send(thrift::application_exception(call.name, call.sequence, error, "unknown method"));
@@ -210,7 +211,7 @@
 void ClientConnection::answer(const core::AnswerFailed& failed) {
   mark_answered(failed.tag);
   send(thrift::failed(failed.tag, failed.why));
-  if (failed.unusable) count_invalid_request();
+  if (failed.invalid_request) count_invalid_request();
 }
 
 void ClientConnection::answer(const core::AnswerRejected& rejected) {
@@ -222,7 +223,7 @@
 
 // Guards against clients that repeat invalid requests as fast as these are refused.
 void ClientConnection::count_invalid_request() {
-  if (++invalid_requests_ >= kMaxInvalidRequests) close_when_answered(ConnectionEnd::kTooMuch);
+  if (++invalid_requests_ >= kMaxInvalidRequests) close_when_answered(ConnectionEnd::kLimitExceeded);
 }
 
 void ClientConnection::send(std::string_view bytes) {
@@ -269,15 +270,15 @@
 }
 
 void ClientConnection::resume_reading() {
-  if (!is_open() || catching_up_ || context_.crowded() || is_output_full()) return;
+  if (!is_open() || catching_up_ || context_.under_memory_pressure() || is_output_full()) return;
   catch_up();
   if (!is_open()) return;
   if (!closing_end_ && std::exchange(paused_, false)) --totals_.paused_clients;
   while (!held_calls_.empty() && (!paused_ || closing_end_)) {
     dispatch_call(pop_held_call(), Reason::kNone);
     if (!is_open()) return;
-    if (context_.crowded() || is_output_full()) pause();
-    if (closing_end_ && (context_.crowded() || is_output_full())) return;
+    if (context_.under_memory_pressure() || is_output_full()) pause();
+    if (closing_end_ && (context_.under_memory_pressure() || is_output_full())) return;
   }
   if (closing_end_) return close_if_answered();
   update_buffered_bytes();
@@ -316,7 +317,8 @@
     if (confirm_quiet()) close(ConnectionEnd::kSilent);
     return;
   }
-  if (frame_reader_.inside() && !paused_ && frame_overdue) return close_when_answered(ConnectionEnd::kSilent);
+  if (frame_reader_.in_frame() && !paused_ && frame_overdue)
+    return close_when_answered(ConnectionEnd::kSilent);
   if (output_.empty() || now - last_activity_at_ <= kUnreadTimeout) return;
   refuse_held_calls();
   if (is_open() && unanswered_requests() == 0) close(ConnectionEnd::kSilent);
@@ -355,11 +357,11 @@
 void ClientConnection::discard_input() {
   std::array<char, 4096> into;
   for (int i = 0; i < kMaxReadsPerEvent; ++i) {
-    const Moved moved = read_some(channel_.fd(), into);
-    if (moved.kind == Moved::Kind::kLater) return;
+    const IoResult moved = read_some(channel_.fd(), into);
+    if (moved.kind == IoResult::Kind::kWouldBlock) return;
     discarded_bytes_ += moved.bytes;
-    if (moved.kind != Moved::Kind::kBytes || discarded_bytes_ > kMaxDiscardedBytes) {
-      context_.reactor.hurry();  // a shutdown may wait for this
+    if (moved.kind != IoResult::Kind::kBytes || discarded_bytes_ > kMaxDiscardedBytes) {
+      context_.reactor.skip_next_wait();  // a shutdown may wait for this
       return end_lingering();
     }
   }
@@ -369,7 +371,7 @@
   if (!is_open()) return;
   const std::size_t unanswered = unanswered_requests();
   if (is_ended_by_us(end) && close_denied(unanswered) != Denial::kNone) {
-    ++context_.counters.violations[static_cast<std::size_t>(Denial::kAnswerOwed)];
+    ++context_.counters.violations[static_cast<std::size_t>(Denial::kAnswerPending)];
     context_.log.write(log::Level::kError, log::Component::kNet, "client closed with requests unanswered",
                        {{"end", name_of(end)}, {"requests", static_cast<std::int64_t>(unanswered)}});
   } else {
--- a/src/net/client_connection.h
+++ b/src/net/client_connection.h
@@ -53,7 +53,7 @@
   void close_if_peer_disconnected();
   // Reads what has arrived; true if that is nothing. False if paused: what has arrived is not known then.
   bool confirm_quiet();
-  bool idle() const { return output_.empty() && !frame_reader_.inside() && held_calls_.empty(); }
+  bool idle() const { return output_.empty() && !frame_reader_.in_frame() && held_calls_.empty(); }
   bool has_sent_message() const { return has_sent_message_; }  // at least one whole message was read
   // Monotonic time at which the last byte was read or written.
   TimeUs last_activity_at() const { return last_activity_at_; }
@@ -89,7 +89,7 @@
   bool parse_frames(std::string_view bytes);
   void handle_call(thrift::FrontCall call);
   void handle_abort(std::int32_t sequence);
-  void dispatch_call(const thrift::FrontCall& call, Reason refuse_as);
+  void dispatch_call(const thrift::FrontCall& call, Reason refusal_reason);
   thrift::FrontCall pop_held_call();
   bool remove_held_call(std::int32_t sequence);
   bool can_hold_more() const;
--- a/src/net/context.h
+++ b/src/net/context.h
@@ -19,15 +19,15 @@
   BufferPool& pool;
   metrics::Counters& counters;
   log::Logger& log;
-  std::function<void(core::Event)> post;  // queues an event for the next turn
-  std::function<bool()> crowded;          // no memory for new work: stop reading and accepting
+  std::function<void(core::Event)> post;        // queues an event for the next turn
+  std::function<bool()> under_memory_pressure;  // no memory for new work: stop reading and accepting
   // Called immediately before the first byte of a query is sent to an engine; anything but Denial::kNone
   // forbids sending it.
   std::function<Denial(core::CallId)> start_denied;
   // Objects that closed themselves inside one of their own callbacks; destroyed between turns.
-  std::vector<std::shared_ptr<void>> closed;
+  std::vector<std::shared_ptr<void>> pending_destruction;
   // For how long (us) the event loop has been stalled so far (`StallTracker`).
-  TimeUs lost = 0;
+  TimeUs stalled_time = 0;
 };
 
 }  // namespace orchidgw::net
--- a/src/net/controller.cpp
+++ b/src/net/controller.cpp
@@ -36,8 +36,8 @@
   return static_cast<std::size_t>(config.sockets) / kClientsDivisor + 1;
 }
 
-FrontLimits front_limits(const config::ControllerConfig& config) {
-  FrontLimits limits;
+ClientListenerLimits front_limits(const config::ControllerConfig& config) {
+  ClientListenerLimits limits;
   limits.clients = max_clients(config);
   limits.frame_bytes = memory_part(config, kFramesDivisor);
   return limits;
@@ -56,7 +56,7 @@
 std::size_t max_fleet_connections(const std::optional<fleet::FleetConfig>& fleet, const std::string& name) {
   if (!fleet) return 0;
   const std::size_t keepers = fleet->keepers.size();
-  if (fleet->keeper_named(name) == nullptr) return keepers + 1;
+  if (fleet->find_keeper(name) == nullptr) return keepers + 1;
   return static_cast<std::size_t>(fleet->largest) + 2 * keepers + 4;
 }
 
@@ -67,7 +67,7 @@
     : Controller(configuration.controller,
                  max_fleet_connections(configuration.fleet, configuration.controller.name),
                  std::move(listener), log, std::move(reload)) {
-  log_.choose(configuration.log);
+  log_.configure(configuration.log);
   reducer_.set_trace(log.on(log::Level::kDebug, log::Component::kCore));
   if (configuration.limits) apply_limits(configuration.limits, configuration.levels);
 }
@@ -92,7 +92,7 @@
       reducer_(config.settings, config.seed, counters_),
       engines_(context_, engine_limits(config, fleet_descriptors)),
       change_log_(
-          context_, config.change_log, config.known,
+          context_, config.change_log, config.initial_engine_list,
           {memory_part(config, kChangesDivisor), config.connect_timeout, config.settings.rules, config.seed}),
       front_door_(context_, listener.release(), front_limits(config), reducer_),
       signals_(reactor_, [this](int signal) { on_signal(signal); }),
@@ -103,7 +103,7 @@
 // Requests that were read in this turn count too, else all clients together could exceed the limit within one
 // turn.
 bool Controller::low_on_memory() const {
-  return pool_.low() || reducer_.held_bytes() + events_.statement_bytes() >= max_statement_bytes_;
+  return pool_.low() || reducer_.statement_bytes() + events_.statement_bytes() >= max_statement_bytes_;
 }
 
 void Controller::run() {
@@ -111,13 +111,13 @@
     log_.write(log::Level::kInfo, log::Component::kCore, "intents are kept",
                {{"found", static_cast<std::int64_t>(intents_->loaded_count())}});
   process_events(monotonic_now());
-  reactor_.hurry();
+  reactor_.skip_next_wait();
   reactor_.run();
   print_counters();
 }
 
 void Controller::post(core::Event event) {
-  reactor_.hurry();
+  reactor_.skip_next_wait();
   events_.push(std::move(event), monotonic_now());
 }
 
@@ -127,11 +127,11 @@
   const TimeUs now = monotonic_now();
   ++counters_.turns;
   check_wall_clock(now);
-  const bool deferred = attention_.turn_begins(now);
-  context_.lost = attention_.lost();
+  const bool deferred = attention_.begin_turn(now);
+  context_.stalled_time = attention_.stalled_time();
   if (deferred) return defer_turn();
   try {
-    context_.closed.clear();
+    context_.pending_destruction.clear();
     change_log_.check(now);
     engines_.check(now);
     if (admin_) admin_->check(now);
@@ -147,9 +147,9 @@
   count_descriptors();
   log_.stream().flush();  // log lines that the reader of the output has not taken yet
   const TimeUs end = monotonic_now();
-  counters_.turn.add(end - now);
+  counters_.turn_length.add(end - now);
   const TimeUs wait = time_to_wait(end);
-  attention_.loop_waits(wait);
+  attention_.end_turn(wait);
   return wait;
 }
 
@@ -168,7 +168,7 @@
 // unread was taken for silent.
 TimeUs Controller::defer_turn() {
   ++counters_.late_turns;
-  attention_.loop_waits(0);
+  attention_.end_turn(0);
   return 0;
 }
 
@@ -188,11 +188,11 @@
 
 // Effects may post new events (a dropped call has ended), so the queue is asked for its next event each time.
 void Controller::process_non_requests(TimeUs now) {
-  while (auto event = events_.next_news()) process_event(now, std::move(*event));
+  while (auto event = events_.next_non_request()) process_event(now, std::move(*event));
 }
 
 void Controller::process_event(TimeUs now, PostedEvent posted) {
-  counters_.reads.add(monotonic_now() - posted.at);
+  counters_.read_lateness.add(monotonic_now() - posted.at);
   if (fleet_) {
     apply_fleet_shares();
     if (const auto* request = std::get_if<core::RequestArrived>(&posted.event)) record_demand(*request);
@@ -206,7 +206,8 @@
 // ended while this process waited or was stopped.
 void Controller::apply_fleet_shares() {
   auto shares = fleet_->changed_shares(monotonic_now());
-  if (shares) apply(monotonic_now(), core::FleetShared{std::move(shares->module), std::move(shares->limits)});
+  if (shares)
+    apply(monotonic_now(), core::FleetShareChanged{std::move(shares->module), std::move(shares->limits)});
 }
 
 void Controller::record_demand(const core::RequestArrived& request) {
@@ -214,7 +215,7 @@
   TimeUs cost = request.request->cost_estimate;
   for (const ClassSettings& c : settings_.classes)
     if (cost <= 0 && c.name == request.request->class_name)
-      cost = c.aim / 2;  // what the module assumes until it has learned the cost
+      cost = c.latency_target / 2;  // what the module assumes until it has learned the cost
   fleet_->record_query(monotonic_now(), request.request->tenant, cost);
 }
 
@@ -228,15 +229,15 @@
   const auto make_member = [&] {
     return std::make_unique<FleetMember>(
         context_, *configuration.fleet, options, settings_, configuration.limits.get(),
-        [this] { return reducer_.limiter().fleet_use(monotonic_now()); },
-        [this](core::StartCall call) { send_after_intent(std::move(call)); });
+        [this] { return reducer_.limiter().fleet_usage(monotonic_now()); },
+        [this](core::SendCall call) { send_after_intent(std::move(call)); });
   };
   try {
     fleet_ = make_member();
   } catch (const store::StoreUnavailable&) {
     throw;  // the stored data is not at fault: the start is retried
   } catch (const store::StoreError& e) {
-    if (!configuration.fleet->careful) throw;
+    if (!configuration.fleet->start_with_bad_store) throw;
     // It does not say in its Hello that it is a keeper: guards against another keeper with an empty disk that
     // takes the Hello as "I know of no log of yours". A store that can't be read can't tell that.
     log_.write(log::Level::kError, log::Component::kFleet,
@@ -246,25 +247,25 @@
     fleet_ = make_member();
   }
   if (promises() != nullptr)
-    reducer_.set_keys([this](const std::string& identity) { return key_status(identity); });
+    reducer_.set_key_lookup([this](const std::string& identity) { return key_status(identity); });
   fleet_->set_engine_cores(reducer_.cores());
   apply_fleet_shares();
 }
 
-void Controller::open_intents(const std::string& folder) {
+void Controller::open_intent_store(const std::string& folder) {
   intents_ = std::make_unique<Intents>(context_, folder,
-                                       [this](core::StartCall call) { engines_.send(std::move(call)); });
-  reducer_.set_keys([this](const std::string& identity) { return key_status(identity); });
+                                       [this](core::SendCall call) { engines_.send(std::move(call)); });
+  reducer_.set_key_lookup([this](const std::string& identity) { return key_status(identity); });
 }
 
-core::KeyVerdict Controller::key_status(const std::string& identity) const {
-  const auto status = intents_ ? intents_->key_status(identity) : core::KeyVerdict::kNew;
-  return status == core::KeyVerdict::kNew && promises() != nullptr ? fleet_->key_status(identity) : status;
+core::KeyStatus Controller::key_status(const std::string& identity) const {
+  const auto status = intents_ ? intents_->key_status(identity) : core::KeyStatus::kNew;
+  return status == core::KeyStatus::kNew && promises() != nullptr ? fleet_->key_status(identity) : status;
 }
 
 // Stores the intent on the own disk, if intents are stored, and sends the call. Comes after the fleet's
 // promise, so that no key is held here for a call that the fleet refused.
-void Controller::send_after_intent(core::StartCall call) {
+void Controller::send_after_intent(core::SendCall call) {
   if (intents_) return intents_->send_when_stored(std::move(call));
   engines_.send(std::move(call));
 }
@@ -285,7 +286,7 @@
     log_.write(log::Level::kError, std::string("reducer: ") + e.what());
     return;
   }
-  counters_.reducer.add(monotonic_now() - started_at);
+  counters_.reducer_time.add(monotonic_now() - started_at);
   for (core::SideEffect& effect : effects) {
     try {
       run_effect(effect);
@@ -299,7 +300,7 @@
   std::visit(
       [this](auto& e) {
         using E = std::decay_t<decltype(e)>;
-        if constexpr (std::is_same_v<E, core::StartCall>) {
+        if constexpr (std::is_same_v<E, core::SendCall>) {
           if (e.identity.empty()) return engines_.send(std::move(e));
           if (promises() != nullptr) return promises()->send_when_promised(std::move(e), monotonic_now());
           send_after_intent(std::move(e));
@@ -309,7 +310,7 @@
           if (!drop_waiting_call(e.call, core::ConnectionEnd::kWithdrawn)) engines_.withdraw(e.call);
         } else if constexpr (std::is_same_v<E, core::CloseConnection>) {
           engines_.close_idle_connection(e.attempt);
-        } else if constexpr (std::is_same_v<E, core::FreeKey>) {
+        } else if constexpr (std::is_same_v<E, core::ReleaseKey>) {
           if (promises() != nullptr) promises()->release_key(std::move(e));
         } else if constexpr (std::is_same_v<E, core::LogText>) {
           log_.write(e.level, log::Component::kCore, e.text);
@@ -323,7 +324,7 @@
 TimeUs Controller::time_to_wait(TimeUs now) const {
   if (!events_.empty()) return 0;
   TimeUs due = std::min(now + kMaxWait, change_log_.next_due());
-  if (!front_door_.empty()) due = std::min(due, front_door_.next_sweep());
+  if (!front_door_.empty()) due = std::min(due, front_door_.next_sweep_at());
   if (reload_retry_at_) due = std::min(due, *reload_retry_at_);
   if (shutdown_) due = std::min(due, next_shutdown_step(now));
   if (const auto timer = reducer_.next_due()) due = std::min(due, *timer);
@@ -342,7 +343,7 @@
 // while the program started or was stalled is not known.
 TimeUs Controller::earliest_signal_time() const {
   const bool first_turn = counters_.turns <= 1;
-  return first_turn ? created_at_ : monotonic_now() - attention_.late();
+  return first_turn ? created_at_ : monotonic_now() - attention_.turn_lateness();
 }
 
 void Controller::begin_shutdown() {
@@ -350,7 +351,7 @@
   log_.write(log::Level::kInfo, "asked to stop: still serving requests that arrive");
   shutdown_ = shutdown_schedule(settings_.classes, earliest_signal_time());
   apply(monotonic_now(), core::ShutdownBegun{shutdown_->answer_by});
-  reactor_.hurry();
+  reactor_.skip_next_wait();
 }
 
 TimeUs Controller::next_shutdown_step(TimeUs now) const {
@@ -366,14 +367,14 @@
 
 std::string Controller::run_admin_command(const std::string& line) {
   std::string why;
-  const auto command = admin::parse_admin(line, why);
+  const auto command = admin::parse_admin_command(line, why);
   if (!command) return "error: " + why + "\n";
   const TimeUs now = monotonic_now();
   if (command->kind == admin::AdminCommand::Kind::kFleetStatus)
     return fleet_ ? fleet_->status(monotonic_now()) : "error: this controller belongs to no fleet\n";
   if (command->kind == admin::AdminCommand::Kind::kLevelSet) {
     if (!reducer_.levels().has_level(command->level)) return "error: no level of that name\n";
-    post(core::LevelSet{command->level, now + command->hold});
+    post(core::LevelOverridden{command->level, now + command->hold});
     log_.write(log::Level::kWarn, log::Component::kLimits, "level set by hand",
                {{"level", command->level}, {"seconds", command->hold / 1'000'000}});
     return "set\n";
@@ -382,7 +383,7 @@
   const auto count = [&out](const char* name, std::uint64_t value) {
     out += std::string(name) + " " + std::to_string(value) + "\n";
   };
-  count("taken", counters_.taken);
+  count("taken", counters_.accepted_queries);
   count("served", counters_.served);
   count("refused", counters_.refused);
   count("shed", counters_.refusals[static_cast<std::size_t>(Reason::kShed)]);
@@ -403,7 +404,7 @@
     log_.write(log::Level::kError, log::Component::kConfig,
                std::string("configuration not taken over: ") + e.what());
     // The files may be good. Guards against a change log whose new address is never read.
-    if (e.may_pass()) reload_retry_at_ = monotonic_now() + kReloadRetryDelay;
+    if (e.is_transient()) reload_retry_at_ = monotonic_now() + kReloadRetryDelay;
   } catch (const configuration::ConfigurationError& e) {
     ++counters_.reloads_failed;
     for (const std::string& line : e.lines())
@@ -413,20 +414,20 @@
     log_.write(log::Level::kError, log::Component::kConfig,
                std::string("configuration not taken over: ") + e.what());
   }
-  reactor_.hurry();
+  reactor_.skip_next_wait();
 }
 
 // Applies all of it between two events, so that no query sees a mix of the old and the new configuration.
 void Controller::apply_configuration(const configuration::Configuration& loaded) {
-  change_log_.change_address(loaded.controller.change_log, loaded.controller.known);
-  log_.choose(loaded.log);
+  change_log_.change_address(loaded.controller.change_log, loaded.controller.initial_engine_list);
+  log_.configure(loaded.log);
   reducer_.set_trace(log_.on(log::Level::kDebug, log::Component::kCore));
   const core::Address& at = loaded.controller.change_log;
   log_.write(log::Level::kInfo, log::Component::kConfig,
              "configuration read anew: the change log is at " + at.host + ":" + std::to_string(at.port));
   if (fleet_ && loaded.fleet) fleet_->apply_configuration(*loaded.fleet, loaded.limits.get());
   if (loaded.limits) return apply_limits(loaded.limits, loaded.levels);
-  if (reducer_.limiter().in_force() == nullptr) return;
+  if (reducer_.limiter().active_set() == nullptr) return;
   apply_limits(std::make_shared<const limits::LimitSet>(settings_, limits::LimitFile{}, 0), nullptr);
 }
 
@@ -479,10 +480,10 @@
 void Controller::print_counters() {
   std::ostream& out = log_.stream();
   const service_level::ServiceLevel& levels = reducer_.levels();
-  for (const auto& [level, time] : levels.time_in())
+  for (const auto& [level, time] : levels.time_by_level())
     out << "counter level." << level << ".time_ms " << time / 1000 << '\n';
   if (levels.recorder() != nullptr) {
-    out << "counter level.changes " << levels.changes_made() << " now " << levels.general_level() << '\n';
+    out << "counter level.changes " << levels.change_count() << " now " << levels.general_level() << '\n';
     levels.recorder()->write(out, "signals ");
   }
   metrics::print(counters_, core::counter_names(), out);
--- a/src/net/controller.h
+++ b/src/net/controller.h
@@ -51,7 +51,7 @@
 
   // From now on the intent to send a query that must not run twice is stored in `folder` before it is sent.
   // Throws an exception that names the folder and the reason.
-  void open_intents(const std::string& folder);
+  void open_intent_store(const std::string& folder);
 
   void run();  // returns when a graceful shutdown is complete
 
@@ -79,8 +79,8 @@
   void stop_if_done(TimeUs now);
   TimeUs next_shutdown_step(TimeUs now) const;
   void apply_fleet_shares();
-  core::KeyVerdict key_status(const std::string& identity) const;
-  void send_after_intent(core::StartCall call);
+  core::KeyStatus key_status(const std::string& identity) const;
+  void send_after_intent(core::SendCall call);
   bool drop_waiting_call(core::CallId call, core::ConnectionEnd end);
   Promises* promises() const { return fleet_ ? fleet_->promises() : nullptr; }
   void record_demand(const core::RequestArrived& request);
@@ -97,18 +97,18 @@
   std::size_t max_statement_bytes_;
   Reactor reactor_;
   Context context_;
-  Attention attention_;
+  StallTracker attention_;
   core::Reducer reducer_;
   EventQueue events_;
   EngineClient engines_;
   ChangeLog change_log_;
-  FrontDoor front_door_;
+  ClientListener front_door_;
   Signals signals_;
   LoopTicker ticker_;
   std::unique_ptr<AdminSocket> admin_;  // null: off
   std::unique_ptr<FleetMember> fleet_;  // null: not in a fleet
   std::unique_ptr<Intents> intents_;    // null: intents are not stored
-  WallClockWatch wall_clock_;
+  WallClockStepDetector wall_clock_;
   // Set when a reload failed because a system resource was missing, which may be temporary.
   std::optional<TimeUs> reload_retry_at_;
   TimeUs created_at_;
--- a/src/net/engine_client.cpp
+++ b/src/net/engine_client.cpp
@@ -21,10 +21,10 @@
 
 EngineClient::Queue EngineClient::queue_of(CallKind kind) {
   switch (kind) {
-    case CallKind::kGiveUp:
+    case CallKind::kCancel:
     case CallKind::kPriority:
       return kControl;
-    case CallKind::kNews:
+    case CallKind::kPoll:
     case CallKind::kPage:
       return kReads;
     case CallKind::kStart:
@@ -33,7 +33,7 @@
   return kStarts;
 }
 
-void EngineClient::send(core::StartCall call) {
+void EngineClient::send(core::SendCall call) {
   const Queue queue = queue_of(call.kind);
   if (waiting_[queue].empty() && try_send(call)) return;
   const TimeUs deadline = monotonic_now() + limits_.connect_timeout;
@@ -41,11 +41,11 @@
   update_waiting_count();
 }
 
-bool EngineClient::try_send(core::StartCall& call) {
+bool EngineClient::try_send(core::SendCall& call) {
   return send_on_idle_connection(call) || send_on_new_connection(call);
 }
 
-bool EngineClient::send_on_idle_connection(core::StartCall& call) {
+bool EngineClient::send_on_idle_connection(core::SendCall& call) {
   const auto it = idle_connections_.find(call.attempt);
   if (it == idle_connections_.end()) return false;
   const ConnectionId id = it->second;
@@ -59,9 +59,9 @@
 }
 
 // True also if connecting failed at once; the call has ended then. False if no connection may be opened now.
-bool EngineClient::send_on_new_connection(core::StartCall& call) {
+bool EngineClient::send_on_new_connection(core::SendCall& call) {
   if (!may_connect(queue_of(call.kind))) return false;
-  const Connecting connecting = begin_connect(call.address);
+  const ConnectResult connecting = begin_connect(call.address);
   if (connecting.fd < 0 && connecting.end == ConnectionEnd::kNoDescriptor) return false;
   if (connecting.fd < 0) {
     ++context_.counters.engine_ends[static_cast<std::size_t>(connecting.end)];
@@ -135,7 +135,7 @@
   const auto it = connections_.find(connection.id());
   if (it != connections_.end()) {
     context_.counters.engine_connections.down();
-    context_.closed.push_back(it->second);
+    context_.pending_destruction.push_back(it->second);
     connections_.erase(it);
   }
   const auto idle = idle_connections_.find(connection.attempt());
--- a/src/net/engine_client.h
+++ b/src/net/engine_client.h
@@ -27,7 +27,7 @@
 
   // Sends the call, or queues it while no connection is to be had. Each call ends with exactly one
   // CallAnswered or CallEnded event.
-  void send(core::StartCall call);
+  void send(core::SendCall call);
   void drop(core::CallId call);  // ends the call; closes its connection if it has one
   // Ends the call if none of its bytes were written; else has no effect.
   void withdraw(core::CallId call);
@@ -48,15 +48,15 @@
   // starts.
   enum Queue { kControl, kReads, kStarts, kQueueCount };
   struct Waiting {
-    core::StartCall call;
+    core::SendCall call;
     TimeUs deadline = 0;
   };
 
   static Queue queue_of(core::CallKind kind);
   // On the connection of its attempt or on a new one; false if none can be had.
-  bool try_send(core::StartCall& call);
-  bool send_on_idle_connection(core::StartCall& call);
-  bool send_on_new_connection(core::StartCall& call);
+  bool try_send(core::SendCall& call);
+  bool send_on_idle_connection(core::SendCall& call);
+  bool send_on_new_connection(core::SendCall& call);
   bool may_connect(Queue queue) const;
   void send_waiting();
   void expire_waiting(TimeUs now);
--- a/src/net/engine_connection.cpp
+++ b/src/net/engine_connection.cpp
@@ -18,7 +18,7 @@
 }  // namespace
 
 EngineConnection::EngineConnection(Context& context, EngineConnectionOwner& owner, std::uint64_t id, int fd,
-                                   core::StartCall call, TimeUs connect_deadline)
+                                   core::SendCall call, TimeUs connect_deadline)
     : context_(context),
       owner_(owner),
       id_(id),
@@ -26,9 +26,9 @@
       channel_(context.reactor, fd, *this),
       call_(std::move(call)),
       connect_started_at_(monotonic_now()),
-      connect_deadline_(connect_deadline - context.lost),
-      answer_deadline_(call_->answer_by - context.lost),
-      parser_(http::kPageBytesMost),
+      connect_deadline_(connect_deadline - context.stalled_time),
+      answer_deadline_(call_->answer_by - context.stalled_time),
+      parser_(http::kMaxPageBytes),
       unsent_(context.pool),
       body_(context.pool) {
   channel_.want_write(true);
@@ -39,16 +39,16 @@
   return call_->call;
 }
 
-void EngineConnection::send(core::StartCall call) {
+void EngineConnection::send(core::SendCall call) {
   call_ = std::move(call);
-  answer_deadline_ = call_->answer_by - context_.lost;
+  answer_deadline_ = call_->answer_by - context_.stalled_time;
   write_request();
 }
 
 void EngineConnection::on_connected() {
   ConnectionEnd end = ConnectionEnd::kUnreachable;
-  if (!connect_came_up(channel_.fd(), end)) return close(end);
-  context_.counters.connects.add(monotonic_now() - connect_started_at_);
+  if (!connect_succeeded(channel_.fd(), end)) return close(end);
+  context_.counters.connect_time.add(monotonic_now() - connect_started_at_);
   channel_.want_read(true);
   write_request();
 }
@@ -94,14 +94,15 @@
 
 void EngineConnection::on_readable() {
   BufferChain in(context_.pool);
-  const std::span<char> free_space = in.room();
-  const Moved io_result = read_some(channel_.fd(), free_space);
-  if (io_result.kind == Moved::Kind::kLater) return;
-  if (io_result.kind != Moved::Kind::kBytes) return close(end_by_peer(io_result.kind == Moved::Kind::kReset));
+  const std::span<char> free_space = in.writable_span();
+  const IoResult io_result = read_some(channel_.fd(), free_space);
+  if (io_result.kind == IoResult::Kind::kWouldBlock) return;
+  if (io_result.kind != IoResult::Kind::kBytes)
+    return close(end_by_peer(io_result.kind == IoResult::Kind::kReset));
   context_.counters.engine_bytes_in += io_result.bytes;
   // Bytes on an idle connection, or before the call is completely written, are no answer to a call of ours.
   if (state_ == State::kIdle || !unsent_.empty()) return close(ConnectionEnd::kUnreadable);
-  last_read_at_ = monotonic_now() - context_.lost;
+  last_read_at_ = monotonic_now() - context_.stalled_time;
   if (!read_bytes({free_space.data(), io_result.bytes})) return close(ConnectionEnd::kUnreadable);
   if (state_ == State::kBusy) owner_.on_answer_begun(*this);
 }
@@ -113,7 +114,7 @@
     row_check_.feed(piece);
     body_.append(piece);
   });
-  if (result != Result::kDone) return result == Result::kMore;
+  if (result != Result::kDone) return result == Result::kNeedMore;
   on_complete_answer(bytes.empty());
   return true;
 }
@@ -121,7 +122,7 @@
 void EngineConnection::on_complete_answer(bool no_trailing_bytes) {
   auto rows = std::make_unique<ChainPayload>(std::move(body_));
   body_ = BufferChain(context_.pool);
-  auto answer = http::read_answer(call_->kind, parser_.head(), std::move(rows), row_check_.whole());
+  auto answer = http::read_answer(call_->kind, parser_.head(), std::move(rows), row_check_.valid());
   // Bytes behind an answer belong to no call: the connection is not used again. Behind an answer with rows
   // they may be rows beyond a wrong content length: the call fails, so that the rows are requested again.
   const bool has_rows = parser_.head().status == 200;
@@ -147,18 +148,19 @@
 }
 
 TimeUs EngineConnection::due() const {
-  if (state_ == State::kConnecting) return std::min(connect_deadline_, answer_deadline_) + context_.lost;
-  if (state_ == State::kBusy && !parser_.begun()) return answer_deadline_ + context_.lost;
+  if (state_ == State::kConnecting)
+    return std::min(connect_deadline_, answer_deadline_) + context_.stalled_time;
+  if (state_ == State::kBusy && !parser_.begun()) return answer_deadline_ + context_.stalled_time;
   // Guards against answers that stop in the middle while the connection stays open: waiting for the rest
   // until the call's deadline would make a short query miss its latency target.
   if (state_ == State::kBusy)
-    return std::min(answer_deadline_, last_read_at_ + kStallTimeout) + context_.lost;
+    return std::min(answer_deadline_, last_read_at_ + kStallTimeout) + context_.stalled_time;
   return std::numeric_limits<TimeUs>::max();
 }
 
 void EngineConnection::check(TimeUs now) {
   if (now < due()) return;
-  if (state_ == State::kConnecting) return close(ConnectionEnd::kNotUpInTime);
+  if (state_ == State::kConnecting) return close(ConnectionEnd::kConnectTimeout);
   if (state_ == State::kBusy) close(ConnectionEnd::kSilent);
 }
 
--- a/src/net/engine_connection.h
+++ b/src/net/engine_connection.h
@@ -32,7 +32,7 @@
 class EngineConnection final : public ChannelHandler {
  public:
   EngineConnection(Context& context, EngineConnectionOwner& owner, std::uint64_t id, int fd,
-                   core::StartCall call, TimeUs connect_deadline);
+                   core::SendCall call, TimeUs connect_deadline);
 
   std::uint64_t id() const { return id_; }
   core::AttemptId attempt() const { return attempt_; }
@@ -40,7 +40,7 @@
   bool connecting() const { return state_ == State::kConnecting; }
   std::optional<core::CallId> call() const;
 
-  void send(core::StartCall call);      // only on an idle connection
+  void send(core::SendCall call);       // only on an idle connection
   TimeUs due() const;                   // when `check` is to be called
   TimeUs next_check = 0;                // for the owner: when it calls `check` next; 0: never
   void check(TimeUs now);               // closes the connection if a time limit has passed
@@ -67,7 +67,7 @@
   core::AttemptId attempt_;
   Channel channel_;
   State state_ = State::kConnecting;
-  std::optional<core::StartCall> call_;
+  std::optional<core::SendCall> call_;
   TimeUs connect_started_at_;
   // Times that exclude `Context::lost`. Guards against counting a stall of this process as the engine's
   // silence, while the engine's answer is unread.
@@ -77,7 +77,7 @@
   http::ResponseParser parser_;
   BufferChain unsent_;
   BufferChain body_;
-  http::RowCheck row_check_;
+  http::RowValidator row_check_;
 };
 
 }  // namespace orchidgw::net
--- a/src/net/event_queue.cpp
+++ b/src/net/event_queue.cpp
@@ -74,7 +74,7 @@
   return first;
 }
 
-std::optional<PostedEvent> EventQueue::next_news() {
+std::optional<PostedEvent> EventQueue::next_non_request() {
   if (auto change = pop_front_of(list_changes_)) return change;
   // Guards against one more attempt for a client whose disconnect or abort was read together with the end of
   // the last attempt.
--- a/src/net/event_queue.h
+++ b/src/net/event_queue.h
@@ -19,7 +19,7 @@
 class EventQueue {
  public:
   void push(core::Event event, TimeUs at);
-  std::optional<PostedEvent> next_news();  // any event but a request
+  std::optional<PostedEvent> next_non_request();  // any event but a request
   std::optional<PostedEvent> next_request();
   bool empty() const;
   std::size_t statement_bytes() const { return statement_bytes_; }  // of the queued requests
--- a/src/net/fleet_member.cpp
+++ b/src/net/fleet_member.cpp
@@ -19,12 +19,12 @@
 
 std::vector<fleet::KeeperId> keeper_ids(const fleet::FleetConfig& config) {
   std::vector<fleet::KeeperId> out;
-  for (const fleet::KeeperPlace& keeper : config.keepers) out.push_back(keeper.id);
+  for (const fleet::KeeperEndpoint& keeper : config.keepers) out.push_back(keeper.id);
   return out;
 }
 
 fleet::KeeperId own_keeper_id(const fleet::FleetConfig& config, const FleetMemberOptions& options) {
-  const fleet::KeeperPlace* place = config.keeper_named(options.name);
+  const fleet::KeeperEndpoint* place = config.find_keeper(options.name);
   return place != nullptr && options.runs_keeper ? place->id : 0;
 }
 
@@ -32,14 +32,20 @@
 std::vector<fleet::KeeperId> keepers_to_ask(const fleet::FleetConfig& config,
                                             const FleetMemberOptions& options) {
   std::vector<fleet::KeeperId> out = keeper_ids(config);
-  const fleet::KeeperPlace* place = config.keeper_named(options.name);
+  const fleet::KeeperEndpoint* place = config.find_keeper(options.name);
   if (place != nullptr && !options.runs_keeper && out.size() > 1) std::erase(out, place->id);
   return out;
 }
 
 fleet::Hello make_hello(const fleet::FleetConfig& config, const FleetMemberOptions& options,
                         fleet::KeeperId keeper) {
-  return {fleet::kVersion, config.name, config.number, {options.name, options.incarnation}, keeper, {}, {}};
+  return {fleet::kProtocolVersion,
+          config.name,
+          config.number,
+          {options.name, options.incarnation},
+          keeper,
+          {},
+          {}};
 }
 
 }  // namespace
@@ -57,8 +63,8 @@
 
 FleetMember::FleetMember(Context& context, const fleet::FleetConfig& config,
                          const FleetMemberOptions& options, const Settings& settings,
-                         const limits::LimitSet* limits, std::function<limits::FleetUse()> use,
-                         std::function<void(core::StartCall)> send)
+                         const limits::LimitSet* limits, std::function<limits::FleetUsage()> use,
+                         std::function<void(core::SendCall)> send)
     : context_(context),
       config_(config),
       settings_(settings),
@@ -75,11 +81,12 @@
              [this](fleet::KeeperId keeper) { role_.link_down(monotonic_now(), keeper); },
              [this](const fleet::Hello& hello) {
                keeper_heard_ = true;
-               if (keeper_) keeper_->post(KeeperThread::HelloReceived{hello.keeper, hello.begun, hello.at});
+               if (keeper_)
+                 keeper_->post(KeeperThread::HelloReceived{hello.keeper, hello.bootstrapped, hello.at});
              }}) {
   if (config.keys)
     promises_.emplace(context, role_.holder().self(), std::move(send),
-                      [this](const promises::KeyAsk& one) { this->request_keys(one); });
+                      [this](const promises::KeyRequest& one) { this->request_keys(one); });
   if (own_keeper_ == 0) return;
   keeper_ = std::make_unique<KeeperThread>(keeper_options(config, options, own_keeper_), config.store,
                                            store::StoredOwner{config.name, config.number, own_keeper_, {}},
@@ -104,31 +111,31 @@
 
 // Unavailable at once, without waiting, while there is no lease: there may be no keeper to grant a key, and
 // only a member may send a query whose key was granted.
-core::KeyVerdict FleetMember::key_status(const std::string& identity) const {
+core::KeyStatus FleetMember::key_status(const std::string& identity) const {
   const TimeUs now = monotonic_now();
   const bool may_be_given = role_.holder().leased(now) && role_.keys_settled();
-  return may_be_given ? promises_->key_status(identity, now) : core::KeyVerdict::kNoRoom;
+  return may_be_given ? promises_->key_status(identity, now) : core::KeyStatus::kUnavailable;
 }
 
 // Sent to the keeper that leases are requested from, which follows the leader.
-void FleetMember::request_keys(const promises::KeyAsk& ask) {
-  if (role_.asks() == own_keeper_) {
-    keeper_->post(KeeperThread::KeyRequest{0, ask});
+void FleetMember::request_keys(const promises::KeyRequest& ask) {
+  if (role_.keeper_to_ask() == own_keeper_) {
+    keeper_->post(KeeperThread::KeyRequestReceived{0, ask});
   } else {
-    port_.send(role_.asks(), ask);
+    port_.send(role_.keeper_to_ask(), ask);
   }
 }
 
 void FleetMember::request_lease(TimeUs now) {
-  const limits::FleetUse use = fleet_use_();
-  const budget::Holder& holder = role_.holder();
-  const fleet::KeeperId before = role_.asks();
-  const budget::Ask ask =
-      role_.ask(now, demand_.parts(now, holder.terms(), use), demand_.in_use(now, holder, use));
-  const fleet::KeeperId to = role_.asks();
+  const limits::FleetUsage use = fleet_use_();
+  const budget::LeaseHolder& holder = role_.holder();
+  const fleet::KeeperId before = role_.keeper_to_ask();
+  const budget::LeaseRequest ask =
+      role_.ask(now, demand_.parts(now, holder.terms(), use), demand_.parts_in_use(now, holder, use));
+  const fleet::KeeperId to = role_.keeper_to_ask();
   if (to != before) port_.disconnect(before);
   if (to == own_keeper_) {
-    keeper_->post(KeeperThread::LeaseRequest{0, ask});
+    keeper_->post(KeeperThread::LeaseRequestReceived{0, ask});
   } else {
     port_.send(to, ask);
   }
@@ -164,7 +171,7 @@
 // in parts. Holds until the next such line of this process.
 void FleetMember::log_lease(TimeUs now) {
   if (!context_.log.on(log::Level::kDebug, log::Component::kFleet)) return;
-  const budget::Holder& holder = role_.holder();
+  const budget::LeaseHolder& holder = role_.holder();
   const bool leased = holder.leased(now);
   std::ostringstream line;
   line << "lease " << holder.number() << " from " << now << " until " << (leased ? holder.ends_at() : now)
@@ -178,14 +185,14 @@
 }
 
 void FleetMember::on_message(std::uint64_t link, fleet::Message message) {
-  if (auto* ask = std::get_if<budget::Ask>(&message)) {
-    if (keeper_) keeper_->post(KeeperThread::LeaseRequest{link, std::move(*ask)});
-  } else if (auto* keys = std::get_if<promises::KeyAsk>(&message)) {
-    if (keeper_) keeper_->post(KeeperThread::KeyRequest{link, std::move(*keys)});
+  if (auto* ask = std::get_if<budget::LeaseRequest>(&message)) {
+    if (keeper_) keeper_->post(KeeperThread::LeaseRequestReceived{link, std::move(*ask)});
+  } else if (auto* keys = std::get_if<promises::KeyRequest>(&message)) {
+    if (keeper_) keeper_->post(KeeperThread::KeyRequestReceived{link, std::move(*keys)});
   } else if (auto* log = std::get_if<fleet::LogMessage>(&message)) {
     // Recorded at once: guards against a Hello that is sent before the keeper's thread has processed the
     // message.
-    if (store_in_use_) port_.add_begun_keeper(log->from);
+    if (store_in_use_) port_.add_bootstrapped_keeper(log->from);
     if (keeper_) keeper_->post(std::move(*log));
   } else {
     handle_answer(message);
@@ -194,22 +201,22 @@
 
 void FleetMember::handle_answer(const fleet::Message& message) {
   const TimeUs now = monotonic_now();
-  if (const auto* grant = std::get_if<fleet::GrantTold>(&message)) {
+  if (const auto* grant = std::get_if<fleet::GrantReply>(&message)) {
     const bool superseded = role_.holder().superseded();
-    const bool no_room = role_.holder().no_room();
-    if (role_.told(now, *grant)) shares_outdated_ = true;
+    const bool not_admitted = role_.holder().not_admitted();
+    if (role_.on_reply(now, *grant)) shares_outdated_ = true;
     if (role_.holder().superseded() && !superseded)
       context_.log.write(log::Level::kError, log::Component::kFleet,
                          "another process of this name has joined the fleet: this one uses nothing any more");
-    if (role_.holder().no_room() && !no_room)
+    if (role_.holder().not_admitted() && !not_admitted)
       context_.log.write(log::Level::kWarn, log::Component::kFleet,
                          "the fleet has as many members as it may");
-  } else if (const auto* elsewhere = std::get_if<fleet::Elsewhere>(&message)) {
-    role_.told(now, *elsewhere);
-  } else if (const auto* keys = std::get_if<promises::KeyTold>(&message)) {
+  } else if (const auto* elsewhere = std::get_if<fleet::Redirect>(&message)) {
+    role_.on_reply(now, *elsewhere);
+  } else if (const auto* keys = std::get_if<promises::KeyReply>(&message)) {
     if (promises_) promises_->on_answer(now, *keys);
   }
-  context_.reactor.hurry();
+  context_.reactor.skip_next_wait();
 }
 
 void FleetMember::on_readable() {
@@ -219,8 +226,8 @@
   store_in_use_ = out.state.store_in_use;
   keeper_heard_ = keeper_heard_ || store_in_use_;
   awaited_keepers_ = std::move(out.state.awaited_keepers);
-  for (const fleet::KeeperId keeper : out.state.begun) port_.add_begun_keeper(keeper);
-  port_.set_log_standing(out.state.log_standing);
+  for (const fleet::KeeperId keeper : out.state.bootstrapped) port_.add_bootstrapped_keeper(keeper);
+  port_.set_log_progress(out.state.log_progress);
   for (const fleet::LogMessage& message : out.to_keepers) port_.send(message.to, message);
   for (const auto& reply : out.replies) {
     if (reply.link == 0) {
@@ -247,14 +254,14 @@
 }
 
 void FleetMember::update_stage(TimeUs now) {
-  const budget::Holder& holder = role_.holder();
+  const budget::LeaseHolder& holder = role_.holder();
   recovery::Facts facts;
   facts.keeps = own_keeper_ != 0;
   facts.store_ok = store_in_use_;
   facts.keeper_heard = keeper_heard_;
   facts.leader_known = role_.leader_known();
   facts.leased = holder.leased(now);
-  facts.settled = holder.settled();
+  facts.half_granted = holder.half_granted();
   facts.level = holder.level();
   facts.keys_settled = !promises_ || role_.keys_settled();
   const recovery::Stage stage = recovery::next_stage(stage_.value_or(recovery::Stage::kStore), facts);
@@ -265,14 +272,14 @@
 }
 
 std::string FleetMember::status(TimeUs now) const {
-  const budget::Holder& holder = role_.holder();
+  const budget::LeaseHolder& holder = role_.holder();
   std::ostringstream out;
   out << "stage " << (stage_ ? recovery::name_of(*stage_) : "store") << " level_percent "
       << budget::percent_of(holder.level()) << '\n';
   out << "fleet " << config_.name << ' ' << config_.number << " member " << holder.self().name
       << " incarnation " << holder.self().incarnation << '\n';
   out << "lease " << holder.number() << ' ' << (holder.leased(now) ? "runs" : "none") << " left_ms "
-      << (holder.leased(now) ? (holder.ends_at() - now) / kUsPerMs : 0) << " asks " << role_.asks()
+      << (holder.leased(now) ? (holder.ends_at() - now) / kUsPerMs : 0) << " asks " << role_.keeper_to_ask()
       << " live " << holder.live() << '\n';
   for (std::size_t a = 0; a < holder.terms().allowances.size(); ++a) {
     const budget::Allowance& terms = holder.terms().allowances[a];
--- a/src/net/fleet_member.h
+++ b/src/net/fleet_member.h
@@ -33,8 +33,8 @@
   // `use`: reports what this controller uses of the limits now. `send`: called for a call whose key the
   // keepers have granted. Throws an exception that names the store's folder and the reason.
   FleetMember(Context& context, const fleet::FleetConfig& config, const FleetMemberOptions& options,
-              const Settings& settings, const limits::LimitSet* limits, std::function<limits::FleetUse()> use,
-              std::function<void(core::StartCall)> send);
+              const Settings& settings, const limits::LimitSet* limits,
+              std::function<limits::FleetUsage()> use, std::function<void(core::SendCall)> send);
   ~FleetMember() override;
 
   // To be called once a turn: sends what is due. After it and before each event call `changed_shares`.
@@ -47,11 +47,13 @@
 
   Promises* promises() { return promises_ ? &*promises_ : nullptr; }  // null: the fleet grants no keys
   // Whether a query that must not run twice may be accepted. Only if `promises` is not null.
-  core::KeyVerdict key_status(const std::string& identity) const;
+  core::KeyStatus key_status(const std::string& identity) const;
 
   // A query was accepted that costs `cost`, by estimate: counts as demand for budgets.
-  void record_query(TimeUs now, const std::string& tenant, TimeUs cost) { demand_.taken(now, tenant, cost); }
-  void set_engine_cores(double cores) { demand_.engines(cores); }
+  void record_query(TimeUs now, const std::string& tenant, TimeUs cost) {
+    demand_.query_accepted(now, tenant, cost);
+  }
+  void set_engine_cores(double cores) { demand_.set_engine_cores(cores); }
   // A new configuration is in force: if this is the leading keeper, it proposes the new terms to the fleet.
   void apply_configuration(const fleet::FleetConfig& config, const limits::LimitSet* limits);
 
@@ -70,7 +72,7 @@
   void on_message(std::uint64_t link, fleet::Message message);
   void handle_answer(const fleet::Message& message);
   void request_lease(TimeUs now);
-  void request_keys(const promises::KeyAsk& ask);
+  void request_keys(const promises::KeyRequest& ask);
   void log_lease(TimeUs now);
   void update_stage(TimeUs now);
   static keeper::Options keeper_options(const fleet::FleetConfig& config, const FleetMemberOptions& options,
@@ -79,7 +81,7 @@
   Context& context_;
   fleet::FleetConfig config_;
   Settings settings_;
-  std::function<limits::FleetUse()> fleet_use_;
+  std::function<limits::FleetUsage()> fleet_use_;
   fleet::KeeperId own_keeper_ = 0;
   fleet::MemberRole role_;
   fleet::Demand demand_;
--- a/src/net/fleet_port.cpp
+++ b/src/net/fleet_port.cpp
@@ -41,8 +41,8 @@
   // keepers.
   const std::size_t max_links = 2 * static_cast<std::size_t>(config_.largest) + 4 * config_.keepers.size();
   while (true) {
-    const Accepted accepted = accept_one(listener_->fd());
-    if (accepted.kind != Accepted::Kind::kClient) return;
+    const AcceptResult accepted = accept_one(listener_->fd());
+    if (accepted.kind != AcceptResult::Kind::kClient) return;
     auto link = open_link(accepted.fd, true);
     if (!link->is_open()) continue;
     accepted_[link->id()] = link;
@@ -53,7 +53,7 @@
 }
 
 std::string FleetPort::mismatch_of(const fleet::Hello& hello) const {
-  if (hello.version != fleet::kVersion) return "speaks version " + std::to_string(hello.version);
+  if (hello.version != fleet::kProtocolVersion) return "speaks version " + std::to_string(hello.version);
   if (hello.fleet != config_.name || hello.number != config_.number)
     return "is of fleet " + hello.fleet + " " + std::to_string(hello.number);
   return "";
@@ -77,13 +77,13 @@
 
 void FleetPort::on_link_closed(PeerLink& link, const std::string& why) {
   if (const auto it = accepted_.find(link.id()); it != accepted_.end()) {
-    context_.closed.push_back(it->second);
+    context_.pending_destruction.push_back(it->second);
     accepted_.erase(it);
     return events_.link_closed(link.id());
   }
   for (auto& [keeper, outgoing] : outgoing_) {
     if (outgoing.link.get() != &link) continue;
-    context_.closed.push_back(std::move(outgoing.link));
+    context_.pending_destruction.push_back(std::move(outgoing.link));
     outgoing.link = nullptr;
     // Exponential backoff with jitter: members that lost a keeper do not all reconnect to it at once.
     outgoing.retry_delay =
@@ -99,9 +99,9 @@
 
 bool FleetPort::connect(fleet::KeeperId to, Outgoing& outgoing) {
   if (monotonic_now() < outgoing.retry_at) return false;
-  for (const fleet::KeeperPlace& keeper : config_.keepers) {
+  for (const fleet::KeeperEndpoint& keeper : config_.keepers) {
     if (keeper.id != to) continue;
-    const Connecting connecting = begin_connect(keeper.address);
+    const ConnectResult connecting = begin_connect(keeper.address);
     outgoing.retry_delay = std::clamp(outgoing.retry_delay * 2, kMinRetryDelay, kMaxRetryDelay);
     outgoing.retry_at = monotonic_now() + outgoing.retry_delay;
     if (connecting.fd < 0) return false;
@@ -124,11 +124,13 @@
 }
 
 // Only keepers of the file are added: guards against invalid ids in messages.
-void FleetPort::add_begun_keeper(fleet::KeeperId begun) {
-  const bool is_configured = std::any_of(config_.keepers.begin(), config_.keepers.end(),
-                                         [begun](const fleet::KeeperPlace& one) { return one.id == begun; });
-  const bool known = std::find(self_.begun.begin(), self_.begun.end(), begun) != self_.begun.end();
-  if (is_configured && !known) self_.begun.push_back(begun);
+void FleetPort::add_bootstrapped_keeper(fleet::KeeperId keeper_id) {
+  const bool is_configured =
+      std::any_of(config_.keepers.begin(), config_.keepers.end(),
+                  [keeper_id](const fleet::KeeperEndpoint& one) { return one.id == keeper_id; });
+  const bool known =
+      std::find(self_.bootstrapped.begin(), self_.bootstrapped.end(), keeper_id) != self_.bootstrapped.end();
+  if (is_configured && !known) self_.bootstrapped.push_back(keeper_id);
 }
 
 bool FleetPort::reply(std::uint64_t link, const fleet::Message& message) {
--- a/src/net/front_door.cpp
+++ b/src/net/front_door.cpp
@@ -19,7 +19,8 @@
 
 }  // namespace
 
-FrontDoor::FrontDoor(Context& context, int listener, FrontLimits limits, const core::Reducer& reducer)
+ClientListener::ClientListener(Context& context, int listener, ClientListenerLimits limits,
+                               const core::Reducer& reducer)
     : context_(context),
       listener_(context.reactor, listener, *this),
       limits_(limits),
@@ -28,16 +29,16 @@
   listener_.want_read(true);
 }
 
-void FrontDoor::on_readable() { accept_all(); }
+void ClientListener::on_readable() { accept_all(); }
 
-bool FrontDoor::accept_all() {
+bool ClientListener::accept_all() {
   while (true) {
-    if (context_.crowded() || (clients_.size() >= limits_.clients && !evict_idle_client()))
+    if (context_.under_memory_pressure() || (clients_.size() >= limits_.clients && !evict_idle_client()))
       return pause_at_capacity();
-    const Accepted accepted = accept_one(listener_.fd());
-    if (accepted.kind == Accepted::Kind::kNoResources) return pause_at_capacity();
-    if (accepted.kind == Accepted::Kind::kNonePending) return true;
-    ++context_.counters.accepted;
+    const AcceptResult accepted = accept_one(listener_.fd());
+    if (accepted.kind == AcceptResult::Kind::kNoResources) return pause_at_capacity();
+    if (accepted.kind == AcceptResult::Kind::kNonePending) return true;
+    ++context_.counters.accepted_connections;
     context_.counters.clients.up();
     const core::ClientId id = ++last_id_;
     const auto ended = [this](core::ClientId client, core::ConnectionEnd end) {
@@ -48,7 +49,7 @@
   }
 }
 
-bool FrontDoor::pause_at_capacity() {
+bool ClientListener::pause_at_capacity() {
   pause_accepting();
   return false;
 }
@@ -56,7 +57,7 @@
 // Guards against hundreds of silent connections: at the limit, a connection that never sent a message is
 // closed for a new one, else the one that has been idle for longest. Clients with an open request are never
 // evicted.
-bool FrontDoor::evict_idle_client() {
+bool ClientListener::evict_idle_client() {
   const TimeUs now = monotonic_now();
   std::shared_ptr<ClientConnection> candidate;
   for (const auto& [id, client] : clients_) {
@@ -70,13 +71,13 @@
   }
   // What has just arrived from it is read: then it is not evicted, and the new connection waits for the next
   // attempt.
-  if (candidate && candidate->confirm_quiet()) candidate->close(core::ConnectionEnd::kMadeRoom);
+  if (candidate && candidate->confirm_quiet()) candidate->close(core::ConnectionEnd::kEvicted);
   return clients_.size() < limits_.clients;
 }
 
 // Guards against running out of descriptors or buffers: connections that are not accepted wait in the
 // kernel's accept queue.
-void FrontDoor::pause_accepting() {
+void ClientListener::pause_accepting() {
   if (paused_) return;
   ++context_.counters.accepts_paused;
   context_.log.write(log::Level::kWarn, "no room for more clients: accepting pauses");
@@ -84,13 +85,13 @@
   listener_.want_read(false);
 }
 
-void FrontDoor::resume_accepting() {
-  if (!paused_ || shutdown_ || context_.crowded()) return;
+void ClientListener::resume_accepting() {
+  if (!paused_ || shutdown_ || context_.under_memory_pressure()) return;
   paused_ = false;
   listener_.want_read(true);
 }
 
-void FrontDoor::on_client_closed(core::ClientId id, core::ConnectionEnd end) {
+void ClientListener::on_client_closed(core::ClientId id, core::ConnectionEnd end) {
   ++context_.counters.client_ends[static_cast<std::size_t>(end)];
   context_.counters.clients.down();
   const auto it = clients_.find(id);
@@ -98,7 +99,7 @@
   if (it->second->lingers()) {
     lingering_.push_back({it->second, monotonic_now() + kLingerTimeout});
   } else {
-    context_.closed.push_back(it->second);
+    context_.pending_destruction.push_back(it->second);
   }
   clients_.erase(it);
   // Guards against running out of descriptors: the oldest is closed although the client has not closed its
@@ -112,7 +113,7 @@
 // client with an open request is not closed until the request has its answer, by its deadline at the latest:
 // closing it would leave the request without one. The memory used meanwhile is bounded by the open requests,
 // as no new ones are accepted while memory is short.
-void FrontDoor::reclaim_unread_answers() {
+void ClientListener::reclaim_unread_answers() {
   if (!context_.pool.over_limit()) return;
   const auto snapshot = clients_;  // clients that close themselves are removed from clients_ during the loop
   for (const auto& [id, client] : snapshot)
@@ -125,7 +126,7 @@
   }
 }
 
-std::shared_ptr<ClientConnection> FrontDoor::find_answered_client_with_most_unsent() const {
+std::shared_ptr<ClientConnection> ClientListener::find_answered_client_with_most_unsent() const {
   std::shared_ptr<ClientConnection> largest;
   for (const auto& [id, client] : clients_) {
     if (client->unsent_bytes() == 0 || client->unanswered_requests() > 0) continue;
@@ -134,7 +135,7 @@
   return largest;
 }
 
-void FrontDoor::between_turns(TimeUs now) {
+void ClientListener::between_turns(TimeUs now) {
   reclaim_unread_answers();
   end_lingering(now);
   close_disconnected_clients(now);
@@ -144,7 +145,7 @@
   resume_accepting();
 }
 
-TimeUs FrontDoor::next_sweep() const {
+TimeUs ClientListener::next_sweep_at() const {
   const TimeUs sweep = last_sweep_at_ + sweep_interval();
   return totals_.paused_clients > 0 ? std::min(sweep, last_disconnect_check_at_ + kDisconnectCheckInterval)
                                     : sweep;
@@ -152,25 +153,25 @@
 
 // Guards against attempts for clients that disconnected while nothing was read from them, because of memory
 // or of unsent answers: the reactor does not report a close that comes after unread bytes.
-void FrontDoor::close_disconnected_clients(TimeUs now) {
+void ClientListener::close_disconnected_clients(TimeUs now) {
   if (totals_.paused_clients == 0 || now - last_disconnect_check_at_ < kDisconnectCheckInterval) return;
   last_disconnect_check_at_ = now;
   const auto snapshot = clients_;  // clients that close themselves are removed from clients_ during the loop
   for (const auto& [id, client] : snapshot) client->close_if_peer_disconnected();
 }
 
-void FrontDoor::end_lingering(TimeUs now) {
+void ClientListener::end_lingering(TimeUs now) {
   while (!lingering_.empty() && (!lingering_.front().client->lingers() || lingering_.front().until <= now))
     end_oldest_lingering();
 }
 
-void FrontDoor::end_oldest_lingering() {
+void ClientListener::end_oldest_lingering() {
   lingering_.front().client->end_lingering();
-  context_.closed.push_back(std::move(lingering_.front().client));
+  context_.pending_destruction.push_back(std::move(lingering_.front().client));
   lingering_.pop_front();
 }
 
-void FrontDoor::sweep(TimeUs now) {
+void ClientListener::sweep(TimeUs now) {
   const auto snapshot = clients_;  // clients that close themselves are removed from clients_ during the loop
   for (const auto& [id, client] : snapshot) {
     if (client->paused()) client->resume_reading();
@@ -179,28 +180,28 @@
   }
 }
 
-void FrontDoor::begin_shutdown(const ShutdownSchedule& schedule) {
+void ClientListener::begin_shutdown(const ShutdownSchedule& schedule) {
   if (shutdown_) return;
   shutdown_ = schedule;
   totals_.shutting_down = true;
 }
 
-TimeUs FrontDoor::sweep_interval() const { return shutdown_ ? kShutdownSweepInterval : kSweepInterval; }
+TimeUs ClientListener::sweep_interval() const { return shutdown_ ? kShutdownSweepInterval : kSweepInterval; }
 
 // Guards against a shutdown that drops connections waiting to be accepted: for their clients they are
 // connected already.
-bool FrontDoor::stop_listening(bool force) {
+bool ClientListener::stop_listening(bool force) {
   if (!accept_all() && !force) return false;
   listener_.close();
   return true;
 }
 
-void FrontDoor::close_all() {
+void ClientListener::close_all() {
   while (!clients_.empty()) clients_.begin()->second->close(core::ConnectionEnd::kShutDown);
   end_lingering(std::numeric_limits<TimeUs>::max());
 }
 
-void FrontDoor::on_failure(const char* what) {
+void ClientListener::on_failure(const char* what) {
   context_.log.write(log::Level::kError, std::string("listener: ") + what);
 }
 
--- a/src/net/front_door.h
+++ b/src/net/front_door.h
@@ -16,16 +16,16 @@
 
 namespace orchidgw::net {
 
-struct FrontLimits {
+struct ClientListenerLimits {
   std::size_t clients = 1;      // maximum number of connected clients
   std::size_t frame_bytes = 0;  // maximum bytes of the unfinished frames and held calls of all clients
 };
 
-class FrontDoor final : public ChannelHandler {
+class ClientListener final : public ChannelHandler {
  public:
   // Takes ownership of `listener`, a listening, non-blocking socket. `context` and `reducer` must outlive
   // this object.
-  FrontDoor(Context& context, int listener, FrontLimits limits, const core::Reducer& reducer);
+  ClientListener(Context& context, int listener, ClientListenerLimits limits, const core::Reducer& reducer);
 
   // Sends an answer of the reducer to its client; does nothing if that client has disconnected.
   template <typename Answer>
@@ -38,7 +38,7 @@
   // ends lingering connections, detects disconnected clients and closes stalled ones.
   void between_turns(TimeUs now);
   // Monotonic time at which `between_turns` has to run again at the latest.
-  TimeUs next_sweep() const;
+  TimeUs next_sweep_at() const;
   // From now on clients are closed according to `schedule`. Further calls do nothing.
   void begin_shutdown(const ShutdownSchedule& schedule);
   // Accepts the connections that are pending and closes the listening socket. If there is no capacity for all
@@ -73,7 +73,7 @@
 
   Context& context_;
   Channel listener_;
-  FrontLimits limits_;
+  ClientListenerLimits limits_;
   ClientTotals totals_;
   const core::Reducer& reducer_;  // only queried: readiness, open requests
   std::map<core::ClientId, std::shared_ptr<ClientConnection>> clients_;
--- a/src/net/intents.cpp
+++ b/src/net/intents.cpp
@@ -25,11 +25,11 @@
 
 }  // namespace
 
-Intents::Intents(Context& context, const std::string& folder, std::function<void(core::StartCall)> send)
+Intents::Intents(Context& context, const std::string& folder, std::function<void(core::SendCall)> send)
     : context_(context), send_(std::move(send)), store_(folder, kMaxStoreBytes), key_book_([this] {
         const std::vector<store::Intent> found = store_.load();
         loaded_count_ = found.size();
-        return recovery::KeyBook(boot_id(), monotonic_now(), found, kMaxIntents);
+        return recovery::IntentTracker(boot_id(), monotonic_now(), found, kMaxIntents);
       }()) {
   channel_ = std::make_unique<Channel>(context.reactor, wake_.duplicate(), *this);
   channel_->want_read(true);
@@ -47,13 +47,13 @@
 
 void Intents::close() { channel_->close(); }
 
-core::KeyVerdict Intents::key_status(const std::string& identity) const {
-  if (key_book_.may_have_run(identity, monotonic_now())) return core::KeyVerdict::kMayHaveRun;
-  return store_failing_ || key_book_.full() ? core::KeyVerdict::kNoRoom : core::KeyVerdict::kNew;
+core::KeyStatus Intents::key_status(const std::string& identity) const {
+  if (key_book_.may_have_run(identity, monotonic_now())) return core::KeyStatus::kMayHaveRun;
+  return store_failing_ || key_book_.full() ? core::KeyStatus::kUnavailable : core::KeyStatus::kNew;
 }
 
-void Intents::send_when_stored(core::StartCall call) {
-  const store::Intent intent = key_book_.intend(call.identity, call.rest, monotonic_now());
+void Intents::send_when_stored(core::SendCall call) {
+  const store::Intent intent = key_book_.create_intent(call.identity, call.key_hold, monotonic_now());
   waiting_.push_back({std::move(call), intent.serial});
   const std::lock_guard lock(mutex_);
   to_store_.push_back(intent);
@@ -72,7 +72,7 @@
   const TimeUs now = monotonic_now();
   if (now < check_at_) return;
   check_at_ = now + kCheckInterval;
-  const std::vector<std::uint64_t> expired = key_book_.over(now);
+  const std::vector<std::uint64_t> expired = key_book_.take_expired(now);
   if (expired.empty()) return;
   const std::lock_guard lock(mutex_);
   to_erase_.insert(to_erase_.end(), expired.begin(), expired.end());
@@ -80,7 +80,7 @@
 }
 
 void Intents::on_readable() {
-  wake_.heard();
+  wake_.clear();
   std::vector<StoreResult> results;
   std::string error;
   {
@@ -96,16 +96,16 @@
   }
   for (const StoreResult& result : results) {
     while (!waiting_.empty() && waiting_.front().serial <= result.last_serial) {
-      core::StartCall call = std::move(waiting_.front().call);
+      core::SendCall call = std::move(waiting_.front().call);
       waiting_.pop_front();
       if (result.stored) {
         send_(std::move(call));
       } else {  // it was never sent: another attempt, or a refusal, is harmless
-        context_.post(core::CallEnded{call.call, core::ConnectionEnd::kNoIntent});
+        context_.post(core::CallEnded{call.call, core::ConnectionEnd::kIntentNotStored});
       }
     }
   }
-  context_.reactor.hurry();
+  context_.reactor.skip_next_wait();
 }
 
 void Intents::on_failure(const char* what) {
@@ -113,7 +113,7 @@
 }
 
 void Intents::run_store_thread() {
-  leave_signals_to_the_loop();
+  block_signals_in_thread();
   std::vector<std::uint64_t> to_erase;  // kept until a commit has erased them
   while (true) {
     std::vector<store::Intent> to_store;
@@ -136,7 +136,7 @@
       std::unique_lock lock(mutex_);
       error_ = error;
       if (!to_store.empty()) results_.push_back({to_store.back().serial, error.empty()});
-      wake_.ring();
+      wake_.notify();
       if (!error.empty()) {  // retries with nothing new to store, so that a recovered disk is noticed
         work_available_.wait_for(lock, kRetryDelay, [this] { return stop_; });
         if (to_erase_.empty()) to_erase_.push_back(0);
--- a/src/net/intents.h
+++ b/src/net/intents.h
@@ -25,13 +25,14 @@
  public:
   // `send`: called for each call whose intent is durable. Throws an exception that names the folder and the
   // reason.
-  Intents(Context& context, const std::string& folder, std::function<void(core::StartCall)> send);
+  Intents(Context& context, const std::string& folder, std::function<void(core::SendCall)> send);
   ~Intents() override;
 
   // Whether a query with that identity may be accepted.
-  core::KeyVerdict key_status(const std::string& identity) const;
-  // Stores the intent, then passes the call to `send`; posts CallEnded with kNoIntent if it can't be stored.
-  void send_when_stored(core::StartCall call);
+  core::KeyStatus key_status(const std::string& identity) const;
+  // Stores the intent, then passes the call to `send`; posts CallEnded with kIntentNotStored if it can't be
+  // stored.
+  void send_when_stored(core::SendCall call);
   bool drop(core::CallId call);  // posts no event; false: the call does not wait here
   void check();                  // once a turn: erases intents that have expired
   // How many intents the store held at the start.
@@ -45,7 +46,7 @@
 
  private:
   struct WaitingCall {
-    core::StartCall call;
+    core::SendCall call;
     std::uint64_t serial = 0;
   };
   struct StoreResult {  // for all serials after those of the result before
@@ -55,14 +56,14 @@
   void run_store_thread();
 
   Context& context_;
-  std::function<void(core::StartCall)> send_;
+  std::function<void(core::SendCall)> send_;
   store::IntentStore store_;
   std::size_t loaded_count_ = 0;
-  recovery::KeyBook key_book_;
+  recovery::IntentTracker key_book_;
   std::deque<WaitingCall> waiting_;  // by ascending serial
   TimeUs check_at_ = 0;
   bool store_failing_ = false;
-  Wake wake_;
+  WakeupEvent wake_;
   std::unique_ptr<Channel> channel_;
 
   std::mutex mutex_;  // guards the members below, except the thread
--- a/src/net/keeper_thread.cpp
+++ b/src/net/keeper_thread.cpp
@@ -29,7 +29,7 @@
       own_terms_(own) {
   open_store();
   role_ = std::make_unique<fleet::KeeperRole>(own_terms_);
-  if (disk_claim_->verdict() == Verdict::kMay) start_keeper();
+  if (disk_claim_->verdict() == Verdict::kAllowed) start_keeper();
   thread_ = std::thread([this] { run(); });
 }
 
@@ -52,7 +52,7 @@
 }
 
 KeeperThread::Output KeeperThread::take() {
-  wake_.heard();
+  wake_.clear();
   const std::lock_guard lock(mutex_);
   Output out = std::exchange(output_, {});
   output_.state = out.state;  // stays valid until it changes
@@ -67,10 +67,10 @@
 // Throws an exception that names the folder if the store can't be read or belongs to another keeper.
 void KeeperThread::open_store() {
   store_.reset();
-  store_ = std::make_unique<store::LmdbStore>(folder_, store::kKeeperBytes);
-  const store::Stored found = store_->load();
+  store_ = std::make_unique<store::LmdbStore>(folder_, store::kMaxKeeperStoreBytes);
+  const store::StoredLog found = store_->load();
   if (found.owner) {
-    const std::string fault = recovery::fault_of(*found.owner, self_);
+    const std::string fault = recovery::ownership_error(*found.owner, self_);
     if (!fault.empty()) throw store::StoreError(folder_ + ": " + fault, false);
   }
   disk_claim_.emplace(self_, options_.voters, found);
@@ -95,7 +95,7 @@
       open_store();
     }
     const Verdict verdict = disk_claim_->verdict();
-    if (verdict == Verdict::kMay) {
+    if (verdict == Verdict::kAllowed) {
       start_keeper();
       log_lines_.push_back(
           store_failed_ ? "this keeper runs again"
@@ -103,7 +103,7 @@
       store_failed_ = false;
       return true;
     }
-    if (verdict == Verdict::kMustNot && reported_verdict_ != verdict)
+    if (verdict == Verdict::kForbidden && reported_verdict_ != verdict)
       log_lines_.push_back(
           "this keeper has begun before, on a disk that is lost: it must not vote on an empty one");
     if (verdict == Verdict::kWait && reported_verdict_ != verdict)
@@ -122,20 +122,20 @@
   for (Input& input : inputs) {
     if (auto* terms = std::get_if<budget::Terms>(&input)) {
       own_terms_ = *terms;
-      role_->wants(own_terms_);
+      role_->set_own_terms(own_terms_);
     } else if (auto* closed = std::get_if<LinkClosed>(&input)) {
       role_->link_gone(closed->link);
     } else if (auto* hello = std::get_if<HelloReceived>(&input)) {
-      if (disk_claim_->told(hello->by, hello->begun)) store_claim();
-      vote_floor_.told(hello->by, hello->log_standing);
+      if (disk_claim_->on_greeting(hello->by, hello->bootstrapped)) store_claim();
+      vote_floor_.on_greeting(hello->by, hello->log_progress);
       check_if_behind();
     } else if (auto* message = std::get_if<fleet::LogMessage>(&input)) {
-      if (disk_claim_->met(message->from)) store_claim();
-      if (keeper_ && vote_floor_.lets(*message, monotonic_now())) keeper_->receive(*message);
-    } else if (auto* lease = std::get_if<LeaseRequest>(&input)) {
-      if (keeper_) role_->asked(*keeper_, lease->link, std::move(lease->ask));
-    } else if (auto* key_request = std::get_if<KeyRequest>(&input)) {
-      if (keeper_) role_->asked(*keeper_, key_request->link, std::move(key_request->ask));
+      if (disk_claim_->on_log_message(message->from)) store_claim();
+      if (keeper_ && vote_floor_.allows(*message, monotonic_now())) keeper_->receive(*message);
+    } else if (auto* lease = std::get_if<LeaseRequestReceived>(&input)) {
+      if (keeper_) role_->on_request(*keeper_, lease->link, std::move(lease->ask));
+    } else if (auto* key_request = std::get_if<KeyRequestReceived>(&input)) {
+      if (keeper_) role_->on_request(*keeper_, key_request->link, std::move(key_request->ask));
     }
   }
   inputs.clear();
@@ -143,7 +143,8 @@
 
 // A log is behind if the keeper was down for a while, or runs on an old copy of its disk.
 void KeeperThread::check_if_behind() {
-  if (!keeper_ || !(keeper_->standing().last < vote_floor_.agreed()) || std::exchange(reported_behind_, true))
+  if (!keeper_ || !(keeper_->log_progress().last < vote_floor_.agreed()) ||
+      std::exchange(reported_behind_, true))
     return;
   log_lines_.push_back("this keeper's log is behind what was agreed on: it votes for nobody who lacks that");
 }
@@ -158,7 +159,7 @@
   if (keeper_) messages = keeper_->take_outbox();
   std::vector<fleet::KeeperRole::Reply> replies = role_->take_replies();
   const TimeUs now = monotonic_now();
-  std::erase_if(messages, [&](const fleet::LogMessage& one) { return !vote_floor_.lets(one, now); });
+  std::erase_if(messages, [&](const fleet::LogMessage& one) { return !vote_floor_.allows(one, now); });
   std::string status;
   if (now >= next_status_at_ && keeper_) {
     next_status_at_ = now + kStatusInterval;
@@ -168,8 +169,10 @@
   state.store_in_use = keeper_ != nullptr;
   state.awaited_keepers =
       disk_claim_->verdict() == Verdict::kWait ? disk_claim_->waits_for() : vote_floor_.waits_for(now);
-  if (keeper_) state.begun.assign(disk_claim_->owner().begun.begin(), disk_claim_->owner().begun.end());
-  if (keeper_) state.log_standing = keeper_->standing();
+  if (keeper_)
+    state.bootstrapped.assign(disk_claim_->owner().bootstrapped.begin(),
+                              disk_claim_->owner().bootstrapped.end());
+  if (keeper_) state.log_progress = keeper_->log_progress();
   const std::lock_guard lock(mutex_);
   if (!status.empty()) status_ = std::move(status);
   const bool state_changed = state != output_.state;
@@ -183,11 +186,11 @@
   append(output_.to_keepers, messages);
   append(output_.replies, replies);
   append(output_.log_lines, log_lines_);
-  wake_.ring();
+  wake_.notify();
 }
 
 void KeeperThread::run() {
-  leave_signals_to_the_loop();
+  block_signals_in_thread();
   std::vector<Input> inputs;
   while (true) {
     {
@@ -210,9 +213,9 @@
       // The inputs of this turn are made durable in one commit, and what the role proposes on them in a
       // second.
       keeper_->advance(monotonic_now());
-      keeper_->settle();
+      keeper_->flush();
       role_->run(monotonic_now(), *keeper_);
-      keeper_->settle();
+      keeper_->flush();
       role_->run(monotonic_now(), *keeper_);
       if (keeper_->leads() != was_leader_) {
         was_leader_ = !was_leader_;
--- a/src/net/keeper_thread.h
+++ b/src/net/keeper_thread.h
@@ -21,30 +21,30 @@
 
 class KeeperThread {
  public:
-  struct LeaseRequest {  // link 0: of this controller itself
+  struct LeaseRequestReceived {  // link 0: of this controller itself
     fleet::LinkId link = 0;
-    budget::Ask ask;
+    budget::LeaseRequest ask;
   };
-  struct KeyRequest {  // link 0: likewise
+  struct KeyRequestReceived {  // link 0: likewise
     fleet::LinkId link = 0;
-    promises::KeyAsk ask;
+    promises::KeyRequest ask;
   };
   struct LinkClosed {
     fleet::LinkId link = 0;
   };
   struct HelloReceived {  // from another keeper
     fleet::KeeperId by = 0;
-    std::vector<fleet::KeeperId> begun;
-    fleet::LogStanding log_standing;
+    std::vector<fleet::KeeperId> bootstrapped;
+    fleet::LogProgress log_progress;
   };
-  using Input =
-      std::variant<fleet::LogMessage, LeaseRequest, KeyRequest, LinkClosed, HelloReceived, budget::Terms>;
+  using Input = std::variant<fleet::LogMessage, LeaseRequestReceived, KeyRequestReceived, LinkClosed,
+                             HelloReceived, budget::Terms>;
 
-  struct KeeperState {          // current state of this keeper; see recovery::DiskClaim and VoteFloor
+  struct KeeperState {          // current state of this keeper; see recovery::RejoinGuard and VoteGuard
     bool store_in_use = false;  // the keeper is running
-    std::vector<fleet::KeeperId> begun;            // keepers that it knows to have a log
+    std::vector<fleet::KeeperId> bootstrapped;     // keepers that it knows to have a log
     std::vector<fleet::KeeperId> awaited_keepers;  // whose Hello it needs before it may start or vote
-    fleet::LogStanding log_standing;
+    fleet::LogProgress log_progress;
     bool operator==(const KeeperState&) const = default;
   };
   struct Output {
@@ -69,7 +69,7 @@
   std::string status() const;  // lines for operators, up to 200 ms old
 
  private:
-  using Verdict = recovery::DiskClaim::Verdict;
+  using Verdict = recovery::RejoinGuard::Verdict;
 
   void run();
   void process_inputs(std::vector<Input>& inputs);
@@ -82,10 +82,10 @@
 
   keeper::Options options_;
   store::StoredOwner self_;
-  std::optional<recovery::DiskClaim> disk_claim_;
-  recovery::VoteFloor vote_floor_;
-  bool reported_behind_ = false;              // that the log is behind was logged
-  Verdict reported_verdict_ = Verdict::kMay;  // the last that was logged
+  std::optional<recovery::RejoinGuard> disk_claim_;
+  recovery::VoteGuard vote_floor_;
+  bool reported_behind_ = false;                  // that the log is behind was logged
+  Verdict reported_verdict_ = Verdict::kAllowed;  // the last that was logged
   bool store_failed_ = false;
   std::string folder_;
   std::unique_ptr<store::LogStore> store_;
@@ -96,7 +96,7 @@
   TimeUs next_status_at_ = 0;  // when `status_` is written next
   std::vector<std::string> log_lines_;
   bool was_leader_ = false;
-  Wake wake_;
+  WakeupEvent wake_;
 
   mutable std::mutex mutex_;  // guards the members below, except the thread
   std::condition_variable input_available_;
--- a/src/net/loop_ticker.cpp
+++ b/src/net/loop_ticker.cpp
@@ -33,7 +33,7 @@
   const int fd = open_timer();
   if (fd < 0) {
     const SystemCallError error(SystemCall::kTimerDescriptor, errno, "start");
-    if (error.may_pass()) throw error;
+    if (error.is_transient()) throw error;
     return;
   }
   channel_ = std::make_unique<Channel>(reactor, fd, *this);
--- a/src/net/peer_link.cpp
+++ b/src/net/peer_link.cpp
@@ -14,7 +14,7 @@
 namespace orchidgw::net {
 namespace {
 
-constexpr std::size_t kMaxUnsentBytes = 2 * thrift::kFleetFrameMost;
+constexpr std::size_t kMaxUnsentBytes = 2 * thrift::kMaxFleetFrameBytes;
 constexpr std::size_t kReadBytes = 65536;
 constexpr int kMaxReadsPerEvent = 8;  // so that one peer can't hold up the others
 constexpr unsigned kUnackedTimeoutMs = 5'000;
@@ -27,7 +27,7 @@
       events_(std::move(events)),
       channel_(context.reactor, fd, *this),
       connected_(connected),
-      frames_(thrift::kFleetFrameMost),
+      frames_(thrift::kMaxFleetFrameBytes),
       opened_at_(monotonic_now()) {
   // Guards against a peer whose machine vanished without closing: the connection would stay open for hours.
   setsockopt(fd, IPPROTO_TCP, TCP_USER_TIMEOUT, &kUnackedTimeoutMs, sizeof kUnackedTimeoutMs);
@@ -40,7 +40,7 @@
 
 bool PeerLink::send(const fleet::Message& message) {
   if (!is_open()) return false;
-  const std::string bytes = thrift::write_fleet(message);
+  const std::string bytes = thrift::encode_fleet_message(message);
   if (unsent_.size() - written_bytes_ + bytes.size() > kMaxUnsentBytes) {
     ++context_.counters.fleet_dropped;
     return false;
@@ -53,7 +53,7 @@
 
 void PeerLink::on_connected() {
   core::ConnectionEnd end = core::ConnectionEnd::kUnreachable;
-  if (!connect_came_up(channel_.fd(), end)) return close(core::name_of(end));
+  if (!connect_succeeded(channel_.fd(), end)) return close(core::name_of(end));
   connected_ = true;
   channel_.want_read(true);
   flush();
@@ -61,9 +61,9 @@
 
 void PeerLink::flush() {
   while (written_bytes_ < unsent_.size()) {
-    const Moved io_result = write_some(channel_.fd(), std::string_view(unsent_).substr(written_bytes_));
-    if (io_result.kind == Moved::Kind::kLater) break;
-    if (io_result.kind != Moved::Kind::kBytes) return close("reset");
+    const IoResult io_result = write_some(channel_.fd(), std::string_view(unsent_).substr(written_bytes_));
+    if (io_result.kind == IoResult::Kind::kWouldBlock) break;
+    if (io_result.kind != IoResult::Kind::kBytes) return close("reset");
     written_bytes_ += io_result.bytes;
     context_.counters.fleet_bytes_out += io_result.bytes;
   }
@@ -89,17 +89,17 @@
 void PeerLink::on_readable() {
   std::array<char, kReadBytes> bytes;
   for (int i = 0; i < kMaxReadsPerEvent && is_open(); ++i) {
-    const Moved io_result = read_some(channel_.fd(), bytes);
-    if (io_result.kind == Moved::Kind::kLater) return;
-    if (io_result.kind != Moved::Kind::kBytes)
-      return close(io_result.kind == Moved::Kind::kReset ? "reset" : "closed");
+    const IoResult io_result = read_some(channel_.fd(), bytes);
+    if (io_result.kind == IoResult::Kind::kWouldBlock) return;
+    if (io_result.kind != IoResult::Kind::kBytes)
+      return close(io_result.kind == IoResult::Kind::kReset ? "reset" : "closed");
     context_.counters.fleet_bytes_in += io_result.bytes;
     std::string_view unread(bytes.data(), io_result.bytes);
     while (!unread.empty() && is_open()) {
       const auto result = frames_.feed(unread);
       if (result == thrift::FrameReader::Result::kBroken) return close("unreadable frame");
-      if (result == thrift::FrameReader::Result::kMore) break;
-      auto message = thrift::read_fleet(frames_.frame());
+      if (result == thrift::FrameReader::Result::kNeedMore) break;
+      auto message = thrift::decode_fleet_message(frames_.frame());
       if (!message) return close("unreadable message");
       ++context_.counters.fleet_received;
       events_.message(*this, std::move(*message));
--- a/src/net/promises.cpp
+++ b/src/net/promises.cpp
@@ -5,18 +5,18 @@
 
 namespace orchidgw::net {
 
-Promises::Promises(Context& context, promises::MemberKey self, std::function<void(core::StartCall)> send,
-                   std::function<void(const promises::KeyAsk&)> ask)
+Promises::Promises(Context& context, promises::MemberKey self, std::function<void(core::SendCall)> send,
+                   std::function<void(const promises::KeyRequest&)> ask)
     : context_(context), send_(std::move(send)), ask_(std::move(ask)), holder_(std::move(self)) {}
 
-core::KeyVerdict Promises::key_status(const std::string& identity, TimeUs now) const {
-  const bool room = holder_.has_room() && identity.size() <= promises::kIdentityMost;
-  return room && !holder_.stuck(now) ? core::KeyVerdict::kNew : core::KeyVerdict::kNoRoom;
+core::KeyStatus Promises::key_status(const std::string& identity, TimeUs now) const {
+  const bool room = holder_.has_room() && identity.size() <= promises::kMaxIdentityBytes;
+  return room && !holder_.keepers_unresponsive(now) ? core::KeyStatus::kNew : core::KeyStatus::kUnavailable;
 }
 
-void Promises::send_when_promised(core::StartCall call, TimeUs now) {
+void Promises::send_when_promised(core::SendCall call, TimeUs now) {
   const core::CallId id = call.call;
-  holder_.want(now, id, {call.query, call.identity, call.rest});
+  holder_.want(now, id, {call.query, call.identity, call.key_hold});
   waiting_.emplace(id, std::move(call));
 }
 
@@ -26,15 +26,15 @@
   return true;
 }
 
-void Promises::release_key(core::FreeKey key) { holder_.let_go({key.query, std::move(key.identity)}); }
+void Promises::release_key(core::ReleaseKey key) { holder_.release({key.query, std::move(key.identity)}); }
 
 void Promises::check(TimeUs now, TimeUs term) {
   holder_.set_term(term);
-  apply_verdicts(holder_.given_up(now));
+  apply_verdicts(holder_.take_timed_out(now));
   while (const auto ask = holder_.next(now)) ask_(*ask);
 }
 
-void Promises::on_answer(TimeUs now, const promises::KeyTold& told) {
+void Promises::on_answer(TimeUs now, const promises::KeyReply& told) {
   apply_verdicts(holder_.answered(now, told));
 }
 
@@ -42,20 +42,21 @@
   for (const auto& verdict : verdicts) {
     const auto it = waiting_.find(verdict.ticket);
     if (it == waiting_.end()) continue;
-    core::StartCall call = std::move(it->second);
+    core::SendCall call = std::move(it->second);
     waiting_.erase(it);
-    switch (verdict.told) {
-      case promises::Told::kGiven:
+    switch (verdict.result) {
+      case promises::KeyResult::kGranted:
         ++granted_;
         send_(std::move(call));
         break;
-      case promises::Told::kRests:
+      case promises::KeyResult::kHeld:
         ++held_elsewhere_;
-        context_.post(core::CallEnded{call.call, core::ConnectionEnd::kKeyRests});
+        context_.post(core::CallEnded{call.call, core::ConnectionEnd::kKeyHeld});
         break;
-      case promises::Told::kNotNow:  // it was never sent: another attempt, or a refusal, is harmless
+      case promises::KeyResult::kUnavailable:  // it was never sent: another attempt, or a refusal, is
+                                               // harmless
         ++unavailable_;
-        context_.post(core::CallEnded{call.call, core::ConnectionEnd::kNoIntent});
+        context_.post(core::CallEnded{call.call, core::ConnectionEnd::kIntentNotStored});
         break;
     }
   }
--- a/src/net/reactor.h
+++ b/src/net/reactor.h
@@ -17,7 +17,7 @@
   explicit Reactor(std::function<TimeUs()> turn) : turn_(std::move(turn)) {}
 
   // Makes the next turn come without waiting, for example because something was read.
-  void hurry() { setTimeout(Poco::Timespan(0)); }
+  void skip_next_wait() { setTimeout(Poco::Timespan(0)); }
 
  protected:
   void onBusy() override { run_turn(); }
--- a/src/net/signals.cpp
+++ b/src/net/signals.cpp
@@ -23,7 +23,7 @@
 }
 
 int open_signal_descriptor() {
-  hold_signals();
+  block_signals();
   const sigset_t set = handled_signals();
   const int fd = signalfd(-1, &set, SFD_NONBLOCK | SFD_CLOEXEC);
   if (fd < 0) throw SystemCallError(SystemCall::kSignalDescriptor, errno, "start");
@@ -32,7 +32,7 @@
 
 }  // namespace
 
-void hold_signals() {
+void block_signals() {
   ::signal(SIGPIPE, SIG_IGN);
   const sigset_t set = handled_signals();
   sigprocmask(SIG_BLOCK, &set, nullptr);
--- a/src/net/signals.h
+++ b/src/net/signals.h
@@ -10,7 +10,7 @@
 // Blocks the signals that `Signals` reads; they stay pending until it does. Also ignores SIGPIPE. Guards
 // against signals during the start of the program: a SIGHUP for a reload ended it, or was lost after the old
 // configuration had been read.
-void hold_signals();
+void block_signals();
 
 class Signals final : public ChannelHandler {
  public:
--- a/src/net/sockets.cpp
+++ b/src/net/sockets.cpp
@@ -37,7 +37,7 @@
     case ECONNREFUSED:
       return ConnectionEnd::kRefused;
     case ETIMEDOUT:
-      return ConnectionEnd::kNotUpInTime;
+      return ConnectionEnd::kConnectTimeout;
     case ECONNRESET:
     case EPIPE:
       return ConnectionEnd::kResetUnsent;
@@ -57,16 +57,16 @@
   return "listen: " + address.host + ":" + std::to_string(address.port);
 }
 
-Moved to_io_result(ssize_t n) {
-  if (n > 0) return {Moved::Kind::kBytes, static_cast<std::size_t>(n)};
-  if (n == 0) return {Moved::Kind::kClosed, 0};
-  if (errno == EAGAIN || errno == EWOULDBLOCK) return {Moved::Kind::kLater, 0};
-  return {Moved::Kind::kReset, 0};
+IoResult to_io_result(ssize_t n) {
+  if (n > 0) return {IoResult::Kind::kBytes, static_cast<std::size_t>(n)};
+  if (n == 0) return {IoResult::Kind::kClosed, 0};
+  if (errno == EAGAIN || errno == EWOULDBLOCK) return {IoResult::Kind::kWouldBlock, 0};
+  return {IoResult::Kind::kReset, 0};
 }
 
 }  // namespace
 
-Moved read_some(int fd, std::span<char> buffer) {
+IoResult read_some(int fd, std::span<char> buffer) {
   ssize_t n = 0;
   do {
     n = ::recv(fd, buffer.data(), buffer.size(), 0);
@@ -83,20 +83,20 @@
 
 // Guards against a client that reads the last answer and sends again before the end of the connection reaches
 // it: the last bytes are held back until writing is shut down, so that both go in one segment.
-Moved write_some(int fd, std::string_view bytes, WritePosition position) {
+IoResult write_some(int fd, std::string_view bytes, WritePosition position) {
   const int flags = MSG_NOSIGNAL | (position == WritePosition::kLast ? MSG_MORE : 0);
   ssize_t n = 0;
   do {
     n = ::send(fd, bytes.data(), bytes.size(), flags);
   } while (n < 0 && errno == EINTR);
-  if (n == 0) return {Moved::Kind::kLater, 0};
+  if (n == 0) return {IoResult::Kind::kWouldBlock, 0};
   return to_io_result(n);
 }
 
 bool write_chain(int fd, BufferChain& chain, std::uint64_t& written, WritePosition position) {
   while (!chain.empty()) {
-    const Moved moved = write_some(fd, chain.front(), position);
-    if (moved.kind != Moved::Kind::kBytes) return moved.kind == Moved::Kind::kLater;
+    const IoResult moved = write_some(fd, chain.front(), position);
+    if (moved.kind != IoResult::Kind::kBytes) return moved.kind == IoResult::Kind::kWouldBlock;
     written += moved.bytes;
     chain.consume(moved.bytes);
   }
@@ -125,26 +125,26 @@
   return socket;
 }
 
-Accepted accept_one(int listener) {
+AcceptResult accept_one(int listener) {
   while (true) {
     const int fd = ::accept4(listener, nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC);
     if (fd >= 0) {
       enable_option(fd, IPPROTO_TCP, TCP_NODELAY);
-      return {Accepted::Kind::kClient, fd};
+      return {AcceptResult::Kind::kClient, fd};
     }
-    switch (meaning_of(SystemCall::kAccept, errno)) {
-      case ErrorMeaning::kTryAtOnce:
+    switch (classify_error(SystemCall::kAccept, errno)) {
+      case ErrorClass::kRetryNow:
         continue;
-      case ErrorMeaning::kTryLater:
-        return {Accepted::Kind::kNoResources, -1};
-      case ErrorMeaning::kNothingNow:
-      case ErrorMeaning::kOver:
-        return {Accepted::Kind::kNonePending, -1};
+      case ErrorClass::kRetryLater:
+        return {AcceptResult::Kind::kNoResources, -1};
+      case ErrorClass::kWouldBlock:
+      case ErrorClass::kPermanent:
+        return {AcceptResult::Kind::kNonePending, -1};
     }
   }
 }
 
-Connecting begin_connect(const core::Address& address) {
+ConnectResult begin_connect(const core::Address& address) {
   const int fd = ::socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
   if (fd < 0) return {-1, connection_end_for(errno)};
   enable_option(fd, IPPROTO_TCP, TCP_NODELAY);
@@ -156,7 +156,7 @@
   return {-1, end};
 }
 
-bool connect_came_up(int fd, ConnectionEnd& end) {
+bool connect_succeeded(int fd, ConnectionEnd& end) {
   int error = 0;
   socklen_t size = sizeof error;
   if (getsockopt(fd, SOL_SOCKET, SO_ERROR, &error, &size) != 0) error = errno;
--- a/src/net/sockets.h
+++ b/src/net/sockets.h
@@ -12,18 +12,18 @@
 namespace orchidgw::net {
 
 // The result of a read or write: the number of bytes transferred, or why there were none.
-struct Moved {
-  // kLater: try again once the descriptor is ready. kClosed: the peer has closed its side. kReset: the
+struct IoResult {
+  // kWouldBlock: try again once the descriptor is ready. kClosed: the peer has closed its side. kReset: the
   // connection failed.
-  enum class Kind { kBytes, kLater, kClosed, kReset };
-  Kind kind = Kind::kLater;
+  enum class Kind { kBytes, kWouldBlock, kClosed, kReset };
+  Kind kind = Kind::kWouldBlock;
   std::size_t bytes = 0;
 };
 
-Moved read_some(int fd, std::span<char> buffer);
+IoResult read_some(int fd, std::span<char> buffer);
 // Whether bytes are the last of the stream: those are held back until shut_down_writing().
 enum class WritePosition { kMoreMayFollow, kLast };
-Moved write_some(int fd, std::string_view bytes, WritePosition position = WritePosition::kMoreMayFollow);
+IoResult write_some(int fd, std::string_view bytes, WritePosition position = WritePosition::kMoreMayFollow);
 
 // The peer has closed or reset the connection, even if bytes that it sent before are still unread.
 bool peer_has_closed(int fd);
@@ -43,23 +43,23 @@
 Descriptor listen_at(const core::Address& address);
 
 // The accepted connection, or why there is none.
-struct Accepted {
+struct AcceptResult {
   // kNoResources: descriptors or memory are lacking for the moment; connections may be pending.
   enum class Kind { kClient, kNonePending, kNoResources };
   Kind kind = Kind::kNonePending;
   int fd = -1;  // owned by the caller
 };
-Accepted accept_one(int listener);
+AcceptResult accept_one(int listener);
 
 // A connection that is being established: its descriptor, owned by the caller, or -1 with the reason in
 // `end`.
-struct Connecting {
+struct ConnectResult {
   int fd = -1;
   core::ConnectionEnd end = core::ConnectionEnd::kUnreachable;
 };
-Connecting begin_connect(const core::Address& address);
+ConnectResult begin_connect(const core::Address& address);
 
 // The result of begin_connect(), once the descriptor is writable: true if connected, else `end` says why not.
-bool connect_came_up(int fd, core::ConnectionEnd& end);
+bool connect_succeeded(int fd, core::ConnectionEnd& end);
 
 }  // namespace orchidgw::net
--- a/src/net/start_retry.cpp
+++ b/src/net/start_retry.cpp
@@ -72,7 +72,7 @@
     const std::optional<SystemCallError> failure = try_start(start);
     if (!failure) return StartResult::kStarted;
     const bool out_of_time = monotonic_now() - started_at + pause > kRetryTimeout;
-    if (!failure->may_pass() || out_of_time) throw std::runtime_error(describe_failure(*failure, tries));
+    if (!failure->is_transient() || out_of_time) throw std::runtime_error(describe_failure(*failure, tries));
     if (stop_requested_within(pause)) return StartResult::kStopRequested;
     pause = std::min(pause * 2, kMaxPause);
   }
--- a/src/net/wake.cpp
+++ b/src/net/wake.cpp
@@ -13,29 +13,29 @@
 
 namespace orchidgw::net {
 
-Wake::Wake() : fd_(eventfd(0, EFD_NONBLOCK | EFD_CLOEXEC)) {
+WakeupEvent::WakeupEvent() : fd_(eventfd(0, EFD_NONBLOCK | EFD_CLOEXEC)) {
   if (fd_ < 0) throw SystemCallError(SystemCall::kEventDescriptor, errno, "start");
 }
 
-int Wake::duplicate() const {
+int WakeupEvent::duplicate() const {
   const int fd = ::fcntl(fd_, F_DUPFD_CLOEXEC, 0);
   if (fd < 0) throw SystemCallError(SystemCall::kEventDescriptor, errno, "start");
   return fd;
 }
 
-Wake::~Wake() { ::close(fd_); }
+WakeupEvent::~WakeupEvent() { ::close(fd_); }
 
-void Wake::ring() {
+void WakeupEvent::notify() {
   const std::uint64_t one = 1;
   static_cast<void>(!::write(fd_, &one, sizeof one));  // if the counter is full, the event is set already
 }
 
-void Wake::heard() {
+void WakeupEvent::clear() {
   std::uint64_t count = 0;
   while (::read(fd_, &count, sizeof count) > 0) continue;
 }
 
-void leave_signals_to_the_loop() {
+void block_signals_in_thread() {
   sigset_t all;
   sigfillset(&all);
   pthread_sigmask(SIG_BLOCK, &all, nullptr);
--- a/src/net/wake.h
+++ b/src/net/wake.h
@@ -3,16 +3,16 @@
 
 namespace orchidgw::net {
 
-class Wake {
+class WakeupEvent {
  public:
-  Wake();  // throws SystemCallError
-  ~Wake();
-  Wake(const Wake&) = delete;
-  Wake& operator=(const Wake&) = delete;
+  WakeupEvent();  // throws SystemCallError
+  ~WakeupEvent();
+  WakeupEvent(const WakeupEvent&) = delete;
+  WakeupEvent& operator=(const WakeupEvent&) = delete;
   // A descriptor, owned by the caller, that is readable from notify() until clear(). Throws SystemCallError.
   int duplicate() const;
-  void ring();   // wakes the loop; for any thread
-  void heard();  // resets the event
+  void notify();  // wakes the loop; for any thread
+  void clear();   // resets the event
 
  private:
   int fd_;
@@ -20,6 +20,6 @@
 
 // Blocks all signals in the calling thread, so that only the loop gets them. To be called first in each other
 // thread.
-void leave_signals_to_the_loop();
+void block_signals_in_thread();
 
 }  // namespace orchidgw::net
--- a/src/net/wall_clock_watch.h
+++ b/src/net/wall_clock_watch.h
@@ -8,7 +8,7 @@
 
 namespace orchidgw::net {
 
-class WallClockWatch {
+class WallClockStepDetector {
  public:
   // By how much (us) the wall clock was stepped since the last call; 0 if it advanced like the monotonic
   // clock.
--- a/src/operator_file/fields.cpp
+++ b/src/operator_file/fields.cpp
@@ -93,7 +93,7 @@
   faults_.push_back({at.place, path, std::move(why)});
 }
 
-void Fields::time(const char* key, limits::Maybe<TimeUs>& to, TimeUs min_value) {
+void Fields::time(const char* key, limits::OptionalLocated<TimeUs>& to, TimeUs min_value) {
   const YamlNode* node = find(key);
   if (node == nullptr) return;
   const auto value = to_time(*node);
@@ -103,7 +103,7 @@
   to = {*value, node->place};
 }
 
-void Fields::count(const char* key, limits::Maybe<int>& to, int min_value, int max_value) {
+void Fields::count(const char* key, limits::OptionalLocated<int>& to, int min_value, int max_value) {
   const YamlNode* node = find(key);
   if (node == nullptr) return;
   const auto value = to_count(*node);
@@ -114,7 +114,8 @@
   to = {*value, node->place};
 }
 
-void Fields::number(const char* key, limits::Maybe<double>& to, double min_value, double max_value) {
+void Fields::number(const char* key, limits::OptionalLocated<double>& to, double min_value,
+                    double max_value) {
   const YamlNode* node = find(key);
   if (node == nullptr) return;
   const auto value = to_number(*node);
@@ -125,7 +126,7 @@
   to = {*value, node->place};
 }
 
-void Fields::share(const char* key, limits::Maybe<double>& to) {
+void Fields::share(const char* key, limits::OptionalLocated<double>& to) {
   const YamlNode* node = find(key);
   if (node == nullptr) return;
   const auto value = to_share(*node);
@@ -133,7 +134,7 @@
   to = {*value, node->place};
 }
 
-void Fields::word(const char* key, limits::Maybe<std::string>& to) {
+void Fields::word(const char* key, limits::OptionalLocated<std::string>& to) {
   const YamlNode* node = find(key);
   if (node == nullptr) return;
   if (node->kind != YamlNode::Kind::kScalar || node->text.empty() || node->text.size() > kMaxWordBytes)
@@ -142,7 +143,7 @@
 }
 
 bool Fields::is_alternative(const char* key, const char* default_word, const char* other_word) {
-  limits::Maybe<std::string> stated;
+  limits::OptionalLocated<std::string> stated;
   word(key, stated);
   if (stated && stated->value != default_word && stated->value != other_word)
     fault(*find(key), key, std::string("one of these is wanted: ") + default_word + ", " + other_word);
--- a/src/operator_file/fields.h
+++ b/src/operator_file/fields.h
@@ -19,7 +19,7 @@
   // False after a fault of the constructor; the reading calls below then find no field.
   bool is_map() const { return node_.kind == YamlNode::Kind::kMap; }
   const std::string& path() const { return path_; }
-  Place place() const { return node_.place; }
+  FileLocation place() const { return node_.place; }
 
   // Each call with a key makes it a known field for report_unknown_fields(). Both return null if the field is
   // absent or has no value. No value is a fault in both, a missing field only in require().
@@ -27,11 +27,11 @@
   const YamlNode* require(const char* key);
 
   // Each of these reads a field if it is present. A bad value adds a fault and leaves `to` as it was.
-  void time(const char* key, limits::Maybe<TimeUs>& to, TimeUs min_value = 1);
-  void count(const char* key, limits::Maybe<int>& to, int min_value, int max_value);
-  void number(const char* key, limits::Maybe<double>& to, double min_value, double max_value);
-  void share(const char* key, limits::Maybe<double>& to);  // 0 to 1, or 0% to 100%
-  void word(const char* key, limits::Maybe<std::string>& to);
+  void time(const char* key, limits::OptionalLocated<TimeUs>& to, TimeUs min_value = 1);
+  void count(const char* key, limits::OptionalLocated<int>& to, int min_value, int max_value);
+  void number(const char* key, limits::OptionalLocated<double>& to, double min_value, double max_value);
+  void share(const char* key, limits::OptionalLocated<double>& to);  // 0 to 1, or 0% to 100%
+  void word(const char* key, limits::OptionalLocated<std::string>& to);
   // Reads a field that may have two values. Returns true if it is `other_word`; any third value is a fault.
   bool is_alternative(const char* key, const char* default_word, const char* other_word);
 
--- a/src/operator_file/fleet_reader.cpp
+++ b/src/operator_file/fleet_reader.cpp
@@ -28,7 +28,7 @@
     if (!top.is_map()) return;
     require_supported_version(top);
     if (const YamlNode* name = top.require("fleet")) read_name(*name);
-    Maybe<int> revision, largest, attempts;
+    OptionalLocated<int> revision, largest, attempts;
     if (top.require("revision") != nullptr) top.count("revision", revision, 1, kMaxCount);
     if (top.require("largest") != nullptr) top.count("largest", largest, 1, kMaxFleetSize);
     top.count("further_attempts", attempts, 0, kMaxCount);
@@ -40,10 +40,10 @@
     if (const YamlNode* keys = top.find("keys")) read_keys(*keys);
     if (const YamlNode* division = top.find("division")) read_division(*division);
     if (const YamlNode* keepers = top.require("keepers")) read_keepers(top, *keepers);
-    Maybe<std::string> store;
+    OptionalLocated<std::string> store;
     top.word("store", store);
     if (store) to_.store = store->value;
-    to_.careful = top.is_alternative("bad_store", "refuse", "careful");
+    to_.start_with_bad_store = top.is_alternative("bad_store", "refuse", "careful");
     top.report_unknown_fields();
   }
 
@@ -51,8 +51,8 @@
   void read_name(const YamlNode& node) {
     Fields fields(node, "fleet", faults_);
     if (!fields.is_map()) return;
-    Maybe<std::string> name;
-    Maybe<int> number;
+    OptionalLocated<std::string> name;
+    OptionalLocated<int> number;
     if (fields.require("name") != nullptr) fields.word("name", name);
     if (fields.require("number") != nullptr) fields.count("number", number, 1, kMaxCount);
     fields.report_unknown_fields();
@@ -63,8 +63,8 @@
   void read_lease(const YamlNode& node) {
     Fields fields(node, "lease", faults_);
     if (!fields.is_map()) return;
-    Maybe<TimeUs> term;
-    Maybe<double> drift;
+    OptionalLocated<TimeUs> term;
+    OptionalLocated<double> drift;
     if (fields.require("term") != nullptr) fields.time("term", term, kMinLeaseTerm);
     if (fields.require("drift") != nullptr) fields.share("drift", drift);
     fields.report_unknown_fields();
@@ -77,7 +77,7 @@
   void read_return(const YamlNode& node) {
     Fields fields(node, "return", faults_);
     if (!fields.is_map()) return;
-    Maybe<TimeUs> ramp;
+    OptionalLocated<TimeUs> ramp;
     if (fields.require("ramp") != nullptr) fields.time("ramp", ramp, kMinLeaseTerm);
     fields.report_unknown_fields();
     if (ramp && ramp->value > kMaxRamp) fields.fault(*fields.find("ramp"), "ramp", "10m at most");
@@ -95,7 +95,7 @@
     Fields fields(node, "division", faults_);
     if (!fields.is_map()) return;
     const auto share = [&](const char* key, std::int64_t& ppm) {
-      Maybe<double> value;
+      OptionalLocated<double> value;
       fields.share(key, value);
       if (value) ppm = std::llround(value->value * kPpmPerUnit);
     };
@@ -115,8 +115,8 @@
     for (std::size_t i = 0; i < node.items.size() && i < 8; ++i) {
       Fields fields(node.items[i], "keepers[" + std::to_string(i) + "]", faults_);
       if (!fields.is_map()) continue;
-      Maybe<int> id;
-      Maybe<std::string> name, address;
+      OptionalLocated<int> id;
+      OptionalLocated<std::string> name, address;
       if (fields.require("id") != nullptr) fields.count("id", id, 1, kMaxCount);
       if (fields.require("name") != nullptr) fields.word("name", name);
       if (fields.require("address") != nullptr) fields.word("address", address);
--- a/src/operator_file/levels_reader.cpp
+++ b/src/operator_file/levels_reader.cpp
@@ -38,8 +38,8 @@
     Fields fields(node, path, faults_);
     to.place = node.place;
     if (!fields.is_map()) return;
-    Maybe<std::string> name, tenant;
-    Maybe<TimeUs> least, longest;
+    OptionalLocated<std::string> name, tenant;
+    OptionalLocated<TimeUs> least, longest;
     if (fields.require("name") != nullptr) fields.word("name", name);
     fields.word("tenant", tenant);
     fields.time("least_stay", least);
@@ -77,8 +77,8 @@
   }
 
   void read_signal_condition(Fields& fields, Condition& to) {
-    Maybe<std::string> signal, class_name, tenant;
-    Maybe<TimeUs> hold, window;
+    OptionalLocated<std::string> signal, class_name, tenant;
+    OptionalLocated<TimeUs> hold, window;
     if (fields.require("signal") != nullptr) fields.word("signal", signal);
     fields.word("class", class_name);
     fields.word("tenant", tenant);
@@ -129,7 +129,7 @@
     read_off_switch(fields, "further_attempts", to.no_further_attempts);
     read_scale(fields, "limits", to.limits);
     read_scale(fields, "grants", to.grants);
-    Maybe<TimeUs> hold;
+    OptionalLocated<TimeUs> hold;
     fields.time("longest_hold", hold);
     if (hold) to.longest_hold = hold->value;
     if (const YamlNode* priority = fields.find("priority")) {
@@ -147,7 +147,7 @@
   }
 
   static void read_off_switch(Fields& fields, const char* key, bool& to) {
-    Maybe<std::string> word;
+    OptionalLocated<std::string> word;
     fields.word(key, word);
     if (!word) return;
     to = word->value == "off" || word->value == "false";
@@ -155,25 +155,25 @@
   }
 
   static void read_scale(Fields& fields, const char* key, double& to) {
-    Maybe<double> share;
+    OptionalLocated<double> share;
     fields.share(key, share);
     if (!share) return;
     if (share->value < 0.01) return fields.fault(*fields.find(key), key, "1% at least");
     to = share->value;
   }
 
-  void read_shed(Fields& outer, const YamlNode& node, const std::string& path, std::vector<Shed>& to) {
+  void read_shed(Fields& outer, const YamlNode& node, const std::string& path, std::vector<ShedRule>& to) {
     if (node.kind != YamlNode::Kind::kSequence || node.items.size() > kMaxListEntries)
       return outer.fault(node, "shed", "a list of 32 entries at most is wanted");
     for (std::size_t i = 0; i < node.items.size(); ++i) {
       Fields fields(node.items[i], path + ".shed[" + std::to_string(i) + "]", faults_);
-      Maybe<std::string> class_name, tenant;
-      Maybe<double> share;
+      OptionalLocated<std::string> class_name, tenant;
+      OptionalLocated<double> share;
       fields.word("class", class_name);
       fields.word("tenant", tenant);
       fields.share("share", share);
       fields.report_unknown_fields();
-      Shed& shed = to.emplace_back();
+      ShedRule& shed = to.emplace_back();
       shed.place = node.items[i].place;
       if (class_name) shed.class_name = class_name->value;
       if (tenant) shed.tenant = tenant->value;
@@ -183,7 +183,7 @@
 
   void read_trial(const YamlNode& node, Trial& to) {
     Fields fields(node, "levels.trial", faults_);
-    Maybe<TimeUs> step, wait, most;
+    OptionalLocated<TimeUs> step, wait, most;
     fields.time("step", step);
     fields.time("wait", wait);
     fields.time("wait_most", most);
@@ -200,10 +200,10 @@
     fields.report_unknown_fields();
   }
 
-  void read_changes(const YamlNode& node, ChangeBound& to) {
+  void read_changes(const YamlNode& node, ChangeRateLimit& to) {
     Fields fields(node, "levels.changes", faults_);
-    Maybe<int> most;
-    Maybe<TimeUs> window;
+    OptionalLocated<int> most;
+    OptionalLocated<TimeUs> window;
     fields.count("most", most, 2, 1000);  // at least one level up and one down
     fields.time("within", window, 1'000'000);
     if (most) to.most = most->value;
@@ -211,9 +211,9 @@
     fields.report_unknown_fields();
   }
 
-  void read_manual(const YamlNode& node, std::optional<Manual>& to) {
+  void read_manual(const YamlNode& node, std::optional<ManualOverride>& to) {
     Fields fields(node, "levels.manual", faults_);
-    Maybe<std::string> level, until;
+    OptionalLocated<std::string> level, until;
     if (fields.require("level") != nullptr) fields.word("level", level);
     if (fields.require("until") != nullptr) fields.word("until", until);
     fields.report_unknown_fields();
@@ -223,7 +223,7 @@
     if (end == nullptr || *end != '\0')
       return fields.fault(*fields.find("until"), "until",
                           "a time in UTC is wanted, like 2026-12-18T17:30:00Z");
-    to = Manual{level->value, static_cast<TimeUs>(::timegm(&utc)) * 1'000'000, node.place};
+    to = ManualOverride{level->value, static_cast<TimeUs>(::timegm(&utc)) * 1'000'000, node.place};
   }
 
   std::vector<Fault>& faults_;
--- a/src/operator_file/loader.cpp
+++ b/src/operator_file/loader.cpp
@@ -24,7 +24,7 @@
 // reload is tried again and doesn't fail for good.
 [[noreturn]] void throw_system_error(const std::string& path) {
   const SystemCallError error(SystemCall::kFile, errno, path);
-  if (error.may_pass()) throw error;
+  if (error.is_transient()) throw error;
   fail(path, std::strerror(error.code().value()));
 }
 
--- a/src/operator_file/reader.cpp
+++ b/src/operator_file/reader.cpp
@@ -66,7 +66,7 @@
 
   template <std::size_t N>
   void one_of(Fields& fields, const char* key, const std::array<const char*, N>& words, std::string& to) {
-    Maybe<std::string> word;
+    OptionalLocated<std::string> word;
     fields.word(key, word);
     if (!word) return;
     std::string all;
@@ -110,7 +110,7 @@
     fields.word("class", to.class_name);
     fields.word("tenant", to.tenant);
     if (const YamlNode* table = fields.find("table")) read_table(fields, *table, to.table);
-    Maybe<std::string> key;
+    OptionalLocated<std::string> key;
     fields.word("key", key);
     if (key && key->value != "given" && key->value != "absent") {
       fields.fault(*fields.find("key"), "key", "one of these is wanted: given, absent");
@@ -121,7 +121,7 @@
     if (node.members.empty()) fields.fault(node, "", "matches everything: that is what defaults are for");
   }
 
-  void read_table(Fields& fields, const YamlNode& node, Maybe<TablePattern>& to) {
+  void read_table(Fields& fields, const YamlNode& node, OptionalLocated<TablePattern>& to) {
     std::string text = node.kind == YamlNode::Kind::kScalar ? node.text : "";
     const bool prefix = text.ends_with('*');
     if (prefix) text.pop_back();
@@ -142,7 +142,7 @@
     fields.time("attempt_timeout", to.attempt_timeout);
     fields.time("longest_hold", to.longest_hold);
     fields.count("attempts", to.attempts, 1, 100);
-    fields.count("line", to.line, 0, kMaxCount);
+    fields.count("line", to.queue_size, 0, kMaxCount);
     if (const YamlNode* node = fields.find("second_copy")) read_copy(fields, *node, to.second_copy);
     if (const YamlNode* node = fields.find("back_off")) read_back_off(fields, *node, to.back_off);
     if (const YamlNode* node = fields.find("retry_on")) read_retry_on(fields, *node, to.retry_on);
@@ -152,7 +152,7 @@
       read_retries(*node, fields.path() + ".retries", to.retries);
   }
 
-  void read_copy(Fields& outer, const YamlNode& node, Maybe<SecondCopy>& to) {
+  void read_copy(Fields& outer, const YamlNode& node, OptionalLocated<SecondCopy>& to) {
     if (node.kind == YamlNode::Kind::kScalar) {
       if (node.text != "never")
         return outer.fault(node, "second_copy", "'never', after or after_quantile is wanted");
@@ -161,8 +161,8 @@
     }
     Fields fields(node, outer.path() + ".second_copy", faults_);
     const std::size_t before = faults_.size();
-    Maybe<TimeUs> after, at_least, at_most;
-    Maybe<double> quantile;
+    OptionalLocated<TimeUs> after, at_least, at_most;
+    OptionalLocated<double> quantile;
     fields.time("after", after);
     fields.number("after_quantile", quantile, 0.5, 0.999);
     fields.time("at_least", at_least);
@@ -182,11 +182,11 @@
     to = {copy, node.place};
   }
 
-  void read_back_off(Fields& outer, const YamlNode& node, Maybe<BackOff>& to) {
+  void read_back_off(Fields& outer, const YamlNode& node, OptionalLocated<BackOff>& to) {
     Fields fields(node, outer.path() + ".back_off", faults_);
     const std::size_t before = faults_.size();
-    Maybe<TimeUs> first, most;
-    Maybe<double> factor, jitter;
+    OptionalLocated<TimeUs> first, most;
+    OptionalLocated<double> factor, jitter;
     if (fields.require("first") != nullptr) fields.time("first", first);
     fields.time("most", most);
     fields.number("factor", factor, 1, 10);
@@ -201,7 +201,7 @@
     to = {b, node.place};
   }
 
-  void read_retry_on(Fields& outer, const YamlNode& node, Maybe<RetryOn>& to) {
+  void read_retry_on(Fields& outer, const YamlNode& node, OptionalLocated<RetryOn>& to) {
     if (node.kind != YamlNode::Kind::kSequence)
       return outer.fault(node, "retry_on", "a list of ends is wanted");
     RetryOn on;
@@ -217,8 +217,8 @@
     to = {on, node.place};
   }
 
-  void read_concurrency(Fields& outer, const YamlNode& node, Maybe<Concurrency>& to) {
-    Maybe<int> most, least;
+  void read_concurrency(Fields& outer, const YamlNode& node, OptionalLocated<Concurrency>& to) {
+    OptionalLocated<int> most, least;
     if (node.kind == YamlNode::Kind::kScalar) {
       outer.count("concurrency", most, 0, kMaxCount);
       if (most) to = {Concurrency{most->value, 0}, node.place};
@@ -236,10 +236,10 @@
       to = {Concurrency{most->value, least ? least->value : 0, fleet}, node.place};
   }
 
-  void read_rate(Fields& outer, const YamlNode& node, Maybe<Rate>& to) {
+  void read_rate(Fields& outer, const YamlNode& node, OptionalLocated<Rate>& to) {
     Fields fields(node, outer.path() + ".rate", faults_);
     const std::size_t before = faults_.size();
-    Maybe<double> per_second, burst;
+    OptionalLocated<double> per_second, burst;
     if (fields.require("per_second") != nullptr) fields.number("per_second", per_second, 0, 1e6);
     fields.number("burst", burst, 1, 1e6);
     const bool fleet = read_scope(fields);
@@ -253,17 +253,17 @@
   // Returns true if the limit applies to all controllers of the fleet together.
   bool read_scope(Fields& fields) { return fields.is_alternative("scope", "controller", "fleet"); }
 
-  void read_retries(const YamlNode& node, const std::string& path, Maybe<RetryShare>& to) {
+  void read_retries(const YamlNode& node, const std::string& path, OptionalLocated<RetryBudgetSettings>& to) {
     Fields fields(node, path, faults_);
     const std::size_t before = faults_.size();
-    Maybe<double> share, floor;
-    Maybe<TimeUs> window;
+    OptionalLocated<double> share, floor;
+    OptionalLocated<TimeUs> window;
     if (fields.require("share") != nullptr) fields.share("share", share);
     fields.number("floor", floor, 0, 1e6);
     fields.time("window", window, 1'000);
     fields.report_unknown_fields();
     if (faults_.size() > before || !share) return;
-    RetryShare out;
+    RetryBudgetSettings out;
     out.share = share->value;
     if (floor) out.floor = floor->value;
     if (window) out.window = window->value;
--- a/src/operator_file/yaml_tree.cpp
+++ b/src/operator_file/yaml_tree.cpp
@@ -12,7 +12,7 @@
 namespace orchidgw::operator_file {
 namespace {
 
-Place place_of(const YAML::Mark& mark) { return {mark.line + 1, mark.column + 1}; }
+FileLocation place_of(const YAML::Mark& mark) { return {mark.line + 1, mark.column + 1}; }
 
 // Thrown to stop the parser: faults found after this one could only mislead.
 struct ParseStopped {};
@@ -128,8 +128,8 @@
   std::size_t node_count_ = 0;
 };
 
-Place place_at(std::string_view text, std::size_t at) {
-  Place place{1, 1};
+FileLocation place_at(std::string_view text, std::size_t at) {
+  FileLocation place{1, 1};
   for (std::size_t i = 0; i < at; ++i) {
     ++place.column;
     if (text[i] == '\n') place = {place.line + 1, 1};
--- a/src/operator_file/yaml_tree.h
+++ b/src/operator_file/yaml_tree.h
@@ -15,7 +15,7 @@
 namespace orchidgw::operator_file {
 
 using limits::Fault;
-using limits::Place;
+using limits::FileLocation;
 
 inline constexpr std::size_t kMaxDepth = 12;
 
@@ -25,7 +25,7 @@
   enum class Kind { kNull, kScalar, kSequence, kMap };
   Kind kind = Kind::kNull;
   bool quoted = false;  // for kScalar
-  Place place;
+  FileLocation place;
   std::string text;             // for kScalar
   std::vector<YamlNode> items;  // for kSequence
   std::vector<Member> members;  // for kMap
--- a/src/promises/key_holder.h
+++ b/src/promises/key_holder.h
@@ -23,7 +23,7 @@
   using Ticket = std::uint64_t;  // chosen by the caller: identifies one send that waits
   struct Verdict {
     Ticket ticket = 0;
-    Told told = Told::kNotNow;
+    KeyResult result = KeyResult::kUnavailable;
   };
 
   explicit KeyHolder(MemberKey self) : self_(std::move(self)) {}
@@ -34,39 +34,39 @@
 
   bool has_room() const;  // one more key can wait
   // A request timed out recently and no reply has come since: a key requested now would only wait.
-  bool stuck(TimeUs now) const { return now < unresponsive_until_; }
-  // Requests a key with the next message; the result comes from `answered` or `given_up`.
-  void want(TimeUs now, Ticket ticket, Want want);
+  bool keepers_unresponsive(TimeUs now) const { return now < unresponsive_until_; }
+  // Requests a key with the next message; the result comes from `answered` or `take_timed_out`.
+  void want(TimeUs now, Ticket ticket, HoldRequest want);
   bool drop(Ticket ticket);  // forgets a waiting request; false: it does not wait
   // Queues the release of a key.
-  void let_go(const Free& free);
+  void release(const HoldRelease& free);
 
   // Returns the next message to send now, if any; to be called until there is none.
-  std::optional<KeyAsk> next(TimeUs now);
+  std::optional<KeyRequest> next(TimeUs now);
   // Handles a reply; returns the results of the keys that no longer wait.
-  std::vector<Verdict> answered(TimeUs now, const KeyTold& told);
-  // Removes the keys that have waited too long and returns kNotNow for each.
-  std::vector<Verdict> given_up(TimeUs now);
-  // When `given_up` and `next` have to be called again; none: nothing waits.
+  std::vector<Verdict> answered(TimeUs now, const KeyReply& told);
+  // Removes the keys that have waited too long and returns kUnavailable for each.
+  std::vector<Verdict> take_timed_out(TimeUs now);
+  // When `take_timed_out` and `next` have to be called again; none: nothing waits.
   std::optional<TimeUs> next_due() const;
   std::size_t waiting() const { return waiting_.size(); }
 
  private:
   struct Waiting {
-    Want want;
+    HoldRequest want;
     TimeUs since = 0;
     TimeUs next_request_at = 0;  // time of the next request for it
   };
   struct InFlight {
     TimeUs sent_at = 0;
     std::vector<Ticket> tickets;
-    std::vector<Free> free;
+    std::vector<HoldRelease> free;
   };
   // By identity and query: when the release is sent next.
   using PendingReleases = std::map<std::pair<std::string, std::uint64_t>, TimeUs>;
-  TimeUs patience() const;
+  TimeUs answer_timeout() const;
   TimeUs retry_delay() const;
-  void add_releases(TimeUs now, KeyAsk& ask);
+  void add_releases(TimeUs now, KeyRequest& ask);
 
   MemberKey self_;
   TimeUs term_ = 0;
--- a/src/promises/key_table.cpp
+++ b/src/promises/key_table.cpp
@@ -5,56 +5,56 @@
 
 namespace orchidgw::promises {
 
-std::vector<KeyTold> KeyTable::apply(const KeyEntry& entry) {
-  for (const std::uint64_t number : entry.over)
+std::vector<KeyReply> KeyTable::apply(const KeyEntry& entry) {
+  for (const std::uint64_t number : entry.ended_holds)
     if (const auto it = identity_by_number_.find(number); it != identity_by_number_.end())
-      erase(rests_.find(it->second));
+      erase(holds_.find(it->second));
   settled_ = settled_ || entry.settled;
-  std::vector<KeyTold> out;
-  for (const KeyAsk& ask : entry.asks) {
-    for (const Free& free : ask.free) {
-      const auto it = rests_.find(free.identity);
+  std::vector<KeyReply> out;
+  for (const KeyRequest& ask : entry.asks) {
+    for (const HoldRelease& free : ask.free) {
+      const auto it = holds_.find(free.identity);
       // Ignores a late release by a query that held the key before: it must not end another query's hold.
-      if (it != rests_.end() && it->second.holder == ask.from && it->second.query == free.query) erase(it);
+      if (it != holds_.end() && it->second.holder == ask.from && it->second.query == free.query) erase(it);
     }
-    KeyTold told{ask.from, ask.seq, {}};
-    for (const Want& one : ask.wants) told.wants.push_back(want(ask.from, one));
+    KeyReply told{ask.from, ask.seq, {}};
+    for (const HoldRequest& one : ask.wants) told.wants.push_back(want(ask.from, one));
     out.push_back(std::move(told));
   }
   return out;
 }
 
-Told KeyTable::want(const MemberKey& from, const Want& want) {
-  if (!settled_ || want.identity.size() > kIdentityMost) return Told::kNotNow;
-  auto it = rests_.find(want.identity);
-  if (it == rests_.end()) {
-    if (rests_.size() >= kKeysMost) return Told::kNotNow;
-    it = rests_.emplace(want.identity, Rest{from, want.query, 0, 0}).first;
+KeyResult KeyTable::want(const MemberKey& from, const HoldRequest& want) {
+  if (!settled_ || want.identity.size() > kMaxIdentityBytes) return KeyResult::kUnavailable;
+  auto it = holds_.find(want.identity);
+  if (it == holds_.end()) {
+    if (holds_.size() >= kMaxHeldKeys) return KeyResult::kUnavailable;
+    it = holds_.emplace(want.identity, KeyHold{from, want.query, 0, 0}).first;
   } else if (it->second.holder != from || it->second.query != want.query) {
-    return Told::kRests;
+    return KeyResult::kHeld;
   }
-  Rest& rest = it->second;
-  identity_by_number_.erase(rest.number);
-  rest.number = ++last_number_;
-  rest.time = std::max(rest.time, want.rest);
-  identity_by_number_.emplace(rest.number, want.identity);
-  return Told::kGiven;
+  KeyHold& key_hold = it->second;
+  identity_by_number_.erase(key_hold.number);
+  key_hold.number = ++last_number_;
+  key_hold.time = std::max(key_hold.time, want.key_hold);
+  identity_by_number_.emplace(key_hold.number, want.identity);
+  return KeyResult::kGranted;
 }
 
-void KeyTable::erase(Rests::iterator it) {
+void KeyTable::erase(KeyHolds::iterator it) {
   identity_by_number_.erase(it->second.number);
-  rests_.erase(it);
+  holds_.erase(it);
 }
 
-const Rest* KeyTable::find_by_number(std::uint64_t number) const {
+const KeyHold* KeyTable::find_by_number(std::uint64_t number) const {
   const auto it = identity_by_number_.find(number);
-  return it == identity_by_number_.end() ? nullptr : &rests_.at(it->second);
+  return it == identity_by_number_.end() ? nullptr : &holds_.at(it->second);
 }
 
-void KeyTable::restore(Rests rests, std::uint64_t last_number, bool settled) {
-  rests_ = std::move(rests);
+void KeyTable::restore(KeyHolds holds, std::uint64_t last_number, bool settled) {
+  holds_ = std::move(holds);
   identity_by_number_.clear();
-  for (const auto& [identity, rest] : rests_) identity_by_number_.emplace(rest.number, identity);
+  for (const auto& [identity, key_hold] : holds_) identity_by_number_.emplace(key_hold.number, identity);
   last_number_ = last_number;
   settled_ = settled;
 }
--- a/src/promises/key_table.h
+++ b/src/promises/key_table.h
@@ -23,36 +23,36 @@
 
 namespace orchidgw::promises {
 
-struct Rest {
+struct KeyHold {
   MemberKey holder;
   std::uint64_t query = 0;
   std::uint64_t number = 0;  // unique within the log, increasing; another one for each grant
   TimeUs time = 0;           // duration of the hold from the send
-  bool operator==(const Rest&) const = default;
+  bool operator==(const KeyHold&) const = default;
 };
 
 class KeyTable {
  public:
-  using Rests = std::map<std::string, Rest>;  // by identity
+  using KeyHolds = std::map<std::string, KeyHold>;  // by identity
 
   // Applies an entry and returns one reply for each request, in their order.
-  std::vector<KeyTold> apply(const KeyEntry& entry);
+  std::vector<KeyReply> apply(const KeyEntry& entry);
 
-  const Rests& rests() const { return rests_; }
+  const KeyHolds& holds() const { return holds_; }
   bool settled() const { return settled_; }  // all holds of earlier logs have expired: keys may be granted
   std::uint64_t last_number() const { return last_number_; }
   // Returns null if no such hold is left. The pointer is valid until the next change.
-  const Rest* find_by_number(std::uint64_t number) const;
+  const KeyHold* find_by_number(std::uint64_t number) const;
 
   // Replaces the state by that of a snapshot.
-  void restore(Rests rests, std::uint64_t last_number, bool settled);
+  void restore(KeyHolds holds, std::uint64_t last_number, bool settled);
   bool operator==(const KeyTable&) const = default;
 
  private:
-  Told want(const MemberKey& from, const Want& want);
-  void erase(Rests::iterator it);
+  KeyResult want(const MemberKey& from, const HoldRequest& want);
+  void erase(KeyHolds::iterator it);
 
-  Rests rests_;
+  KeyHolds holds_;
   std::map<std::uint64_t, std::string> identity_by_number_;
   std::uint64_t last_number_ = 0;
   bool settled_ = false;
--- a/src/promises/key_watch.cpp
+++ b/src/promises/key_watch.cpp
@@ -12,47 +12,47 @@
     2048;  // wanted or released: bounds the size of a log entry and its delay
 constexpr std::size_t kMaxEndedPerEntry = 4096;  // bounds the size of a log entry, too
 
-TimeUs over_after(TimeUs rest, const budget::Terms& terms) {
-  return budget::Terms::surely_over_after(rest + terms.term, terms.drift_ppm);
+TimeUs hold_expiry_delay(TimeUs key_hold, const budget::Terms& terms) {
+  return budget::Terms::safe_expiry_delay(key_hold + terms.term, terms.drift_ppm);
 }
 
 }  // namespace
 
-void KeyWatch::lead(TimeUs now, const KeyTable& table, const budget::Terms& terms) {
-  follow();
+void KeyArbiter::become_leader(TimeUs now, const KeyTable& table, const budget::Terms& terms) {
+  step_down();
   led_at_ = now;
-  for (const auto& [identity, rest] : table.rests()) start_timer(now, rest, terms);
+  for (const auto& [identity, key_hold] : table.holds()) start_timer(now, key_hold, terms);
   last_timed_number_ = table.last_number();
 }
 
-void KeyWatch::follow() {
+void KeyArbiter::step_down() {
   requests_.clear();
   expirations_.clear();
   settles_at_ = 0;
 }
 
-void KeyWatch::start_timer(TimeUs now, const Rest& rest, const budget::Terms& terms) {
-  expirations_.emplace(now + over_after(rest.time, terms), rest.number);
+void KeyArbiter::start_timer(TimeUs now, const KeyHold& key_hold, const budget::Terms& terms) {
+  expirations_.emplace(now + hold_expiry_delay(key_hold.time, terms), key_hold.number);
 }
 
-bool KeyWatch::asked(KeyAsk ask) {
+bool KeyArbiter::asked(KeyRequest ask) {
   if (requests_.size() >= kMaxQueuedRequests) return false;
   requests_.push_back(std::move(ask));
   return true;
 }
 
-KeyEntry KeyWatch::next(TimeUs now, const KeyTable& table, const budget::Terms& terms) {
+KeyEntry KeyArbiter::next(TimeUs now, const KeyTable& table, const budget::Terms& terms) {
   KeyEntry out;
-  if (!table.settled() && terms.longest_rest > 0) {
-    settles_at_ = led_at_ + over_after(terms.longest_rest, terms);
+  if (!table.settled() && terms.longest_key_hold > 0) {
+    settles_at_ = led_at_ + hold_expiry_delay(terms.longest_key_hold, terms);
     out.settled = now >= settles_at_;
   }
   if (table.settled() || out.settled) settles_at_ = 0;
   // An ended hold is reported again until its end is applied, in case an entry could not be proposed.
   for (auto it = expirations_.begin();
-       it != expirations_.end() && it->first <= now && out.over.size() < kMaxEndedPerEntry;) {
+       it != expirations_.end() && it->first <= now && out.ended_holds.size() < kMaxEndedPerEntry;) {
     const bool still_held = table.find_by_number(it->second) != nullptr;
-    if (still_held) out.over.push_back(it->second);
+    if (still_held) out.ended_holds.push_back(it->second);
     it = still_held ? std::next(it) : expirations_.erase(it);
   }
   for (std::size_t key_count = 0; !requests_.empty() && key_count < kMaxKeysPerEntry;) {
@@ -63,15 +63,15 @@
   return out;
 }
 
-void KeyWatch::applied(TimeUs now, const KeyTable& table, const std::vector<KeyTold>& told,
-                       const budget::Terms& terms) {
+void KeyArbiter::applied(TimeUs now, const KeyTable& table, const std::vector<KeyReply>& told,
+                         const budget::Terms& terms) {
   if (told.empty()) return;
   for (std::uint64_t number = last_timed_number_ + 1; number <= table.last_number(); ++number)
-    if (const Rest* rest = table.find_by_number(number)) start_timer(now, *rest, terms);
+    if (const KeyHold* key_hold = table.find_by_number(number)) start_timer(now, *key_hold, terms);
   last_timed_number_ = table.last_number();
 }
 
-std::optional<TimeUs> KeyWatch::next_due() const {
+std::optional<TimeUs> KeyArbiter::next_due() const {
   std::optional<TimeUs> due;
   if (settles_at_ > 0) due = settles_at_;
   if (!expirations_.empty())
--- a/src/promises/key_watch.h
+++ b/src/promises/key_watch.h
@@ -21,29 +21,29 @@
 // reply is waited for.
 inline constexpr TimeUs kGrantTimeoutDivisor = 2;
 
-class KeyWatch {
+class KeyArbiter {
  public:
   // This keeper leads from now on; `table` must have all entries committed before its election. `terms`: the
   // agreed ones, or this keeper's own while there are none.
-  void lead(TimeUs now, const KeyTable& table, const budget::Terms& terms);
+  void become_leader(TimeUs now, const KeyTable& table, const budget::Terms& terms);
   // This keeper no longer leads. Queued requests are dropped; their senders repeat them.
-  void follow();
+  void step_down();
 
-  bool asked(KeyAsk ask);  // queues a request; false: the queue is full
+  bool asked(KeyRequest ask);  // queues a request; false: the queue is full
 
   // Returns the next entry to propose, which may be empty. To be called only while no proposed entry is
   // pending.
   KeyEntry next(TimeUs now, const KeyTable& table, const budget::Terms& terms);
   // An entry was applied here: the holds that it granted are timed from now.
-  void applied(TimeUs now, const KeyTable& table, const std::vector<KeyTold>& told,
+  void applied(TimeUs now, const KeyTable& table, const std::vector<KeyReply>& told,
                const budget::Terms& terms);
   // When `next` has to be called again even if nothing arrives; none: no need.
   std::optional<TimeUs> next_due() const;
 
  private:
-  void start_timer(TimeUs now, const Rest& rest, const budget::Terms& terms);
+  void start_timer(TimeUs now, const KeyHold& key_hold, const budget::Terms& terms);
 
-  std::deque<KeyAsk> requests_;
+  std::deque<KeyRequest> requests_;
   std::multimap<TimeUs, std::uint64_t> expirations_;  // numbers of holds, some released or renewed since
   std::uint64_t last_timed_number_ = 0;               // highest number ever put into it
   TimeUs led_at_ = 0;
--- a/src/recovery/disk_claim.h
+++ b/src/recovery/disk_claim.h
@@ -19,26 +19,27 @@
 namespace orchidgw::recovery {
 
 // Returns an error text if the store `found` belongs to another keeper or fleet than `wanted`; else empty.
-std::string fault_of(const store::StoredOwner& found, const store::StoredOwner& wanted);
+std::string ownership_error(const store::StoredOwner& found, const store::StoredOwner& wanted);
 
-class DiskClaim {
+class RejoinGuard {
  public:
   enum class Verdict {
-    kMay,     // continue the log, or begin one
-    kWait,    // other keepers have not reported yet
-    kMustNot  // it has begun before, on a disk that is lost
+    kAllowed,   // continue the log, or begin one
+    kWait,      // other keepers have not reported yet
+    kForbidden  // it has begun before, on a disk that is lost
   };
 
   // `self`: this keeper's identity. `found`: the content of its disk.
-  DiskClaim(const store::StoredOwner& self, std::vector<fleet::KeeperId> voters, const store::Stored& found);
+  RejoinGuard(const store::StoredOwner& self, std::vector<fleet::KeeperId> voters,
+              const store::StoredLog& found);
 
   // A greeting of keeper `by` with the keepers that it knows to have begun, and a log message of keeper `by`.
   // Both return true if it was not known that `by` has begun: `owner()` is to be stored then, before anything
   // that follows from the message is sent.
-  bool told(fleet::KeeperId by, const std::vector<fleet::KeeperId>& begun);
-  bool met(fleet::KeeperId by);
+  bool on_greeting(fleet::KeeperId by, const std::vector<fleet::KeeperId>& bootstrapped);
+  bool on_log_message(fleet::KeeperId by);
   // This keeper begins, or continues, its log.
-  void begin() { owner_.begun.insert(owner_.keeper); }
+  void begin() { owner_.bootstrapped.insert(owner_.keeper); }
 
   Verdict verdict() const;
   std::vector<fleet::KeeperId> waits_for() const;  // other keepers that have not reported yet
--- a/src/recovery/key_book.cpp
+++ b/src/recovery/key_book.cpp
@@ -5,8 +5,8 @@
 
 namespace orchidgw::recovery {
 
-KeyBook::KeyBook(std::string boot, TimeUs now, const std::vector<store::Intent>& found,
-                 std::size_t max_intents)
+IntentTracker::IntentTracker(std::string boot, TimeUs now, const std::vector<store::Intent>& found,
+                             std::size_t max_intents)
     : boot_(std::move(boot)), max_intents_(max_intents) {
   for (const store::Intent& intent : found) {
     // A time in the future is not of this boot, whatever the intent says: no window may last longer than
@@ -20,12 +20,12 @@
   }
 }
 
-bool KeyBook::may_have_run(const std::string& identity, TimeUs now) const {
+bool IntentTracker::may_have_run(const std::string& identity, TimeUs now) const {
   const auto it = held_until_.find(identity);
   return it != held_until_.end() && now < it->second;
 }
 
-store::Intent KeyBook::intend(const std::string& identity, TimeUs window, TimeUs now) {
+store::Intent IntentTracker::create_intent(const std::string& identity, TimeUs window, TimeUs now) {
   store::Intent out;
   out.serial = ++last_serial_;
   out.identity = identity;
@@ -36,7 +36,7 @@
   return out;
 }
 
-std::vector<std::uint64_t> KeyBook::over(TimeUs now) {
+std::vector<std::uint64_t> IntentTracker::take_expired(TimeUs now) {
   std::vector<std::uint64_t> out;
   while (!expirations_.empty() && expirations_.begin()->first <= now) {
     const Expiration expired = expirations_.begin()->second;
--- a/src/recovery/key_book.h
+++ b/src/recovery/key_book.h
@@ -18,20 +18,21 @@
 
 namespace orchidgw::recovery {
 
-class KeyBook {
+class IntentTracker {
  public:
   // `boot`: identifies this boot of the machine. `found`: the stored intents. `max_intents`: from this
   // number on `full` is true.
-  KeyBook(std::string boot, TimeUs now, const std::vector<store::Intent>& found, std::size_t max_intents);
+  IntentTracker(std::string boot, TimeUs now, const std::vector<store::Intent>& found,
+                std::size_t max_intents);
 
   // An earlier process may have run the query, and its window has not passed.
   bool may_have_run(const std::string& identity, TimeUs now) const;
   bool full() const { return expirations_.size() >= max_intents_; }
 
   // Returns a new intent, which must be stored before the attempt is sent.
-  store::Intent intend(const std::string& identity, TimeUs window, TimeUs now);
+  store::Intent create_intent(const std::string& identity, TimeUs window, TimeUs now);
   // Removes the intents whose window has passed; returns their serials, to be erased from the store.
-  std::vector<std::uint64_t> over(TimeUs now);
+  std::vector<std::uint64_t> take_expired(TimeUs now);
 
  private:
   struct Expiration {
--- a/src/recovery/one_copy.cpp
+++ b/src/recovery/one_copy.cpp
@@ -17,12 +17,12 @@
 
 // Returns why the recovery is refused; empty: it is not. Each of these conditions would let other keepers
 // continue as well, so that two logs grant leases and keys independently.
-std::string refusal_text(const store::Stored& found, const std::vector<fleet::KeeperId>& voters,
+std::string refusal_text(const store::StoredLog& found, const std::vector<fleet::KeeperId>& voters,
                          const fleet::FleetConfig& config, const std::string& self,
                          const std::vector<fleet::KeeperId>& lost) {
   if (found.empty()) return "there is no log in it";
   if (!found.owner) return "it does not say whose it is: it was written by an earlier version";
-  const fleet::KeeperPlace* self_keeper = config.keeper_named(self);
+  const fleet::KeeperEndpoint* self_keeper = config.find_keeper(self);
   if (self_keeper == nullptr) return "the fleet's file does not name " + self + " as a keeper";
   if (self_keeper->id != found.owner->keeper)
     return "it is keeper " + std::to_string(found.owner->keeper) + "'s, and " + self + " is keeper " +
@@ -44,10 +44,12 @@
 
 }  // namespace
 
-OneCopy go_on_from_one_copy(const store::Stored& found, const std::vector<fleet::KeeperId>& voters,
-                            const fleet::State& state, const fleet::FleetConfig& config,
-                            const std::string& self, const std::vector<fleet::KeeperId>& lost) {
-  OneCopy out;
+SingleCopyRecovery recover_from_single_copy(const store::StoredLog& found,
+                                            const std::vector<fleet::KeeperId>& voters,
+                                            const fleet::State& state, const fleet::FleetConfig& config,
+                                            const std::string& self,
+                                            const std::vector<fleet::KeeperId>& lost) {
+  SingleCopyRecovery out;
   out.fault = refusal_text(found, voters, config, self, lost);
   if (!out.fault.empty()) return out;
   out.owner = {config.name, config.number, found.owner->keeper, {found.owner->keeper}};
@@ -56,13 +58,13 @@
   out.index_term = !found.entries.empty() ? found.entries.back().term
                    : found.snapshot       ? found.snapshot->term
                                           : 0;
-  out.state.keys.restore(state.keys.rests(), state.keys.last_number(), false);
-  out.says = {
+  out.state.keys.restore(state.keys.holds(), state.keys.last_number(), false);
+  out.operator_notes = {
       "this copy ends at entry " + std::to_string(out.index) + " of term " + std::to_string(out.index_term) +
           "; what the lost keepers agreed on behind it is not known and can't be recovered",
       "leases: " + std::to_string(state.ledger.members().size()) +
           " are known; all have expired after a full term, and none is granted for any member before that",
-      "keys: " + std::to_string(state.keys.rests().size()) +
+      "keys: " + std::to_string(state.keys.holds().size()) +
           " are known to be held; none is given before the longest hold is over, as others may be held",
       "lost for good: nothing else is kept in the log",
       "keepers " + join({lost.begin(), lost.end()}) +
--- a/src/recovery/one_copy.h
+++ b/src/recovery/one_copy.h
@@ -13,13 +13,13 @@
 
 namespace orchidgw::recovery {
 
-struct OneCopy {
-  std::string fault;              // why the recovery is refused; empty: it is not, and the rest is set
-  std::vector<std::string> says;  // shown to the operator before anything is written
-  store::StoredOwner owner;       // of the store after the recovery
-  std::uint64_t term = 0;         // of the log after the recovery
-  std::uint64_t index = 0;        // of the last entry of the copy; all of them go into one snapshot
-  std::uint64_t index_term = 0;   // term of that entry
+struct SingleCopyRecovery {
+  std::string fault;  // why the recovery is refused; empty: it is not, and the rest is set
+  std::vector<std::string> operator_notes;  // shown to the operator before anything is written
+  store::StoredOwner owner;                 // of the store after the recovery
+  std::uint64_t term = 0;                   // of the log after the recovery
+  std::uint64_t index = 0;                  // of the last entry of the copy; all of them go into one snapshot
+  std::uint64_t index_term = 0;             // term of that entry
   fleet::State state;
 };
 
@@ -27,8 +27,10 @@
 // content of this keeper's disk. `voters`: the keepers according to its log. `state`: the result of its
 // entries. `config`: the fleet's file that applies from now on. `self`: name of this controller. `lost`: the
 // keepers that the operator names as lost.
-OneCopy go_on_from_one_copy(const store::Stored& found, const std::vector<fleet::KeeperId>& voters,
-                            const fleet::State& state, const fleet::FleetConfig& config,
-                            const std::string& self, const std::vector<fleet::KeeperId>& lost);
+SingleCopyRecovery recover_from_single_copy(const store::StoredLog& found,
+                                            const std::vector<fleet::KeeperId>& voters,
+                                            const fleet::State& state, const fleet::FleetConfig& config,
+                                            const std::string& self,
+                                            const std::vector<fleet::KeeperId>& lost);
 
 }  // namespace orchidgw::recovery
--- a/src/recovery/stages.cpp
+++ b/src/recovery/stages.cpp
@@ -33,7 +33,7 @@
   }
   if (facts.level < budget::kFullLevel) return Stage::kRamp;
   const bool was_past_budgets = before == Stage::kRamp || before == Stage::kKeys || before == Stage::kFull;
-  if (!was_past_budgets && !facts.settled) return Stage::kBudgets;
+  if (!was_past_budgets && !facts.half_granted) return Stage::kBudgets;
   return facts.keys_settled ? Stage::kFull : Stage::kKeys;
 }
 
--- a/src/recovery/vote_floor.cpp
+++ b/src/recovery/vote_floor.cpp
@@ -5,21 +5,21 @@
 
 namespace orchidgw::recovery {
 
-VoteFloor::VoteFloor(fleet::KeeperId self, std::vector<fleet::KeeperId> voters, TimeUs now,
+VoteGuard::VoteGuard(fleet::KeeperId self, std::vector<fleet::KeeperId> voters, TimeUs now,
                      TimeUs greeting_timeout)
     : self_(self),
       voters_(std::move(voters)),
       wait_for_all_until_(now + greeting_timeout),
       uncommitted_counts_until_(now + 2 * greeting_timeout) {}
 
-void VoteFloor::told(fleet::KeeperId by, const fleet::LogStanding& at) {
+void VoteGuard::on_greeting(fleet::KeeperId by, const fleet::LogProgress& at) {
   if (by == self_ || std::find(voters_.begin(), voters_.end(), by) == voters_.end()) return;
   reported_terms_.emplace(by, at.term);
   reported_agreed_ = std::max(reported_agreed_, at.agreed);
   reported_last_ = std::max(reported_last_, at.last);
 }
 
-std::vector<fleet::KeeperId> VoteFloor::waits_for(TimeUs now) const {
+std::vector<fleet::KeeperId> VoteGuard::waits_for(TimeUs now) const {
   std::vector<fleet::KeeperId> out;
   if (now >= wait_for_all_until_) return out;
   for (const fleet::KeeperId voter : voters_)
@@ -28,7 +28,7 @@
 }
 
 // A pre-vote (Ongaro 2014, 9.6) binds nobody, so its term does not count.
-bool VoteFloor::lets(const fleet::LogMessage& message, TimeUs now) const {
+bool VoteGuard::allows(const fleet::LogMessage& message, TimeUs now) const {
   if (message.kind != fleet::LogMessage::Kind::kVote) return true;
   if (!waits_for(now).empty()) return false;
   const fleet::LogPosition candidate{message.index_term, message.index};
--- a/src/recovery/vote_floor.h
+++ b/src/recovery/vote_floor.h
@@ -19,16 +19,16 @@
 
 namespace orchidgw::recovery {
 
-class VoteFloor {
+class VoteGuard {
  public:
   // `greeting_timeout`: how long the greetings of the others are waited for. Reported entries that are not
   // known to be committed count for twice that time.
-  VoteFloor(fleet::KeeperId self, std::vector<fleet::KeeperId> voters, TimeUs now, TimeUs greeting_timeout);
+  VoteGuard(fleet::KeeperId self, std::vector<fleet::KeeperId> voters, TimeUs now, TimeUs greeting_timeout);
 
   // A greeting of keeper `by` reports the position of its log.
-  void told(fleet::KeeperId by, const fleet::LogStanding& at);
+  void on_greeting(fleet::KeeperId by, const fleet::LogProgress& at);
   // Returns whether a log message may be received or sent. Only vote requests are ever withheld.
-  bool lets(const fleet::LogMessage& message, TimeUs now) const;
+  bool allows(const fleet::LogMessage& message, TimeUs now) const;
   // Returns the other keepers whose greetings are still waited for.
   std::vector<fleet::KeeperId> waits_for(TimeUs now) const;
   // The last position that is reported to be committed.
--- a/src/service_level/check.cpp
+++ b/src/service_level/check.cpp
@@ -43,18 +43,18 @@
   }
 
  private:
-  void add_fault(Place place, std::string path, std::string reason) {
+  void add_fault(FileLocation place, std::string path, std::string reason) {
     faults_.push_back({place, std::move(path), std::move(reason)});
   }
 
-  void check_class_known(const std::string& name, Place place, const std::string& path) {
+  void check_class_known(const std::string& name, FileLocation place, const std::string& path) {
     if (name.empty()) return;
     const auto has_name = [&](const ClassSettings& query_class) { return query_class.name == name; };
     if (std::none_of(settings_.classes.begin(), settings_.classes.end(), has_name))
       add_fault(place, path, "the settings have no class '" + name + "'");
   }
 
-  void check_tenant_known(const std::string& name, Place place, const std::string& path) {
+  void check_tenant_known(const std::string& name, FileLocation place, const std::string& path) {
     if (name.empty() || settings_.tenants.empty()) return;
     const auto has_name = [&](const TenantSettings& tenant) { return tenant.name == name; };
     if (std::none_of(settings_.tenants.begin(), settings_.tenants.end(), has_name))
@@ -81,7 +81,7 @@
                 std::string(name_of(condition.key.signal)) +
                     " falls by the shedding itself: it can't say that the level may be left");
     const bool sheds_it =
-        std::any_of(level.effects.shed.begin(), level.effects.shed.end(), [&](const Shed& shed) {
+        std::any_of(level.effects.shed.begin(), level.effects.shed.end(), [&](const ShedRule& shed) {
           return shed.share >= 1 && !condition.key.class_name.empty() &&
                  shed.class_name == condition.key.class_name && shed.tenant.empty();
         });
@@ -108,7 +108,7 @@
 
   void check_effects(const Level& level, const std::string& path) {
     const Effects& effects = level.effects;
-    for (const Shed& shed : effects.shed) {
+    for (const ShedRule& shed : effects.shed) {
       check_class_known(shed.class_name, shed.place, path + ".effects.shed.class");
       check_tenant_known(shed.tenant, shed.place, path + ".effects.shed.tenant");
       if (shed.class_name.empty() && shed.tenant.empty() && level.tenant.empty())
--- a/src/service_level/ladder.cpp
+++ b/src/service_level/ladder.cpp
@@ -89,7 +89,7 @@
   return highest;
 }
 
-Ladder::Ladder(std::vector<const Level*> levels, const Trial& trial, const ChangeBound& changes)
+Ladder::Ladder(std::vector<const Level*> levels, const Trial& trial, const ChangeRateLimit& changes)
     : levels_(std::move(levels)), trial_(trial), change_limit_(changes) {
   for (const Level* level : levels_) {
     enter_.emplace_back(level->enter);
@@ -112,7 +112,7 @@
 
 double Ladder::admitted_share() const { return phase_ == Phase::kTrial ? trial_.parts[trial_part_] : 0; }
 
-void Ladder::set_by_hand(const std::string& level, TimeUs until) {
+void Ladder::override_level(const std::string& level, TimeUs until) {
   if (!position_of(level)) return;
   override_level_ = level;
   override_until_ = until;
@@ -132,7 +132,7 @@
   failed_trials_ = before.failed_trials_;
 }
 
-std::optional<Change> Ladder::sample(TimeUs now, const SignalView& view) {
+std::optional<LadderEvent> Ladder::sample(TimeUs now, const SignalView& view) {
   const TimeUs passed = last_sample_ == 0 ? 0 : std::max<TimeUs>(now - last_sample_, 0);
   if (last_sample_ == 0) level_since_ = longest_stay_from_ = now;
   last_sample_ = std::max(last_sample_, now);
@@ -145,7 +145,7 @@
   return phase_ == Phase::kTrial ? continue_trial(now) : consider_leaving(now);
 }
 
-std::optional<Change> Ladder::apply_override(TimeUs now) {
+std::optional<LadderEvent> Ladder::apply_override(TimeUs now) {
   if (now >= override_until_) {
     override_until_ = 0;
     if (position_ == 0) return std::nullopt;
@@ -164,7 +164,7 @@
 }
 
 // Enters one level at a time, whatever the conditions of the levels above it say.
-std::optional<Change> Ladder::enter_next_level(TimeUs now) {
+std::optional<LadderEvent> Ladder::enter_next_level(TimeUs now) {
   if (position_ >= levels_.size() || !enter_[position_].holds()) return std::nullopt;
   if (now < barred_until_[position_] || !may_change(now)) return std::nullopt;
   // The effect of the level below must show before the next level can be entered.
@@ -173,7 +173,7 @@
   return move_to(now, position_ + 1, enter_[position_].reason());
 }
 
-std::optional<Change> Ladder::consider_leaving(TimeUs now) {
+std::optional<LadderEvent> Ladder::consider_leaving(TimeUs now) {
   const Level& level = *levels_[position_ - 1];
   if (now - level_since_ < level.least_stay || now < next_trial_at_) return std::nullopt;
   const ConditionTracker& enter = enter_[position_ - 1];
@@ -197,7 +197,7 @@
       now, leave_holds ? "trial: " + leave_[position_ - 1].reason() : "trial: the longest stay is over");
 }
 
-std::optional<Change> Ladder::continue_trial(TimeUs now) {
+std::optional<LadderEvent> Ladder::continue_trial(TimeUs now) {
   if (enter_[position_ - 1].holds()) {
     phase_ = Phase::kSteady;
     next_trial_at_ = now + doubled_wait(trial_.wait, failed_trials_, trial_.wait_most);
@@ -216,8 +216,8 @@
   return move_to(now, position_ - 1, "the trial went well");
 }
 
-Change Ladder::move_to(TimeUs now, std::size_t to, std::string reason) {
-  Change change{name_at(position_), name_at(to), std::move(reason), now - level_since_, false};
+LadderEvent Ladder::move_to(TimeUs now, std::size_t to, std::string reason) {
+  LadderEvent change{name_at(position_), name_at(to), std::move(reason), now - level_since_, false};
   position_ = to;
   level_since_ = longest_stay_from_ = now;
   phase_ = Phase::kSteady;
@@ -231,7 +231,7 @@
   return change;
 }
 
-Change Ladder::trial_event(TimeUs now, std::string reason) const {
+LadderEvent Ladder::trial_event(TimeUs now, std::string reason) const {
   return {name_at(position_), name_at(position_), std::move(reason), now - level_since_, true};
 }
 
--- a/src/service_level/ladder.h
+++ b/src/service_level/ladder.h
@@ -39,7 +39,7 @@
 };
 
 // A change of level, or an event at an unchanged level.
-struct Change {
+struct LadderEvent {
   std::string from;
   std::string to;
   std::string reason;
@@ -50,22 +50,22 @@
 class Ladder {
  public:
   // `levels`: lowest first; they must outlive the ladder.
-  Ladder(std::vector<const Level*> levels, const Trial& trial, const ChangeBound& changes);
+  Ladder(std::vector<const Level*> levels, const Trial& trial, const ChangeRateLimit& changes);
 
   // Reads the signals once and makes at most one change. The first sample only sets the time.
-  std::optional<Change> sample(TimeUs now, const SignalView& view);
+  std::optional<LadderEvent> sample(TimeUs now, const SignalView& view);
 
   // The highest active level; null: full service.
   const Level* level() const { return position_ == 0 ? nullptr : levels_[position_ - 1]; }
-  std::size_t height() const { return position_; }  // how many levels are active
+  std::size_t active_level_count() const { return position_; }  // how many levels are active
   TimeUs level_since() const { return level_since_; }
   // Share of the queries that the highest active level sheds which a trial admits; 0 without a trial.
   double admitted_share() const;
-  std::uint64_t changes_made() const { return change_count_; }
+  std::uint64_t change_count() const { return change_count_; }
 
   // An operator's override: stays at `level` until then, whatever the signals say. Ignores a name that this
   // ladder lacks.
-  void set_by_hand(const std::string& level, TimeUs until);
+  void override_level(const std::string& level, TimeUs until);
   // After a reload, takes the state of the ladder before it: a level of the same name stays active, with the
   // time that it has been so.
   void adopt_state(const Ladder& before);
@@ -73,19 +73,19 @@
  private:
   enum class Phase { kSteady, kTrial };
 
-  std::optional<Change> apply_override(TimeUs now);
-  std::optional<Change> enter_next_level(TimeUs now);
-  std::optional<Change> consider_leaving(TimeUs now);
-  std::optional<Change> continue_trial(TimeUs now);
-  Change move_to(TimeUs now, std::size_t to, std::string reason);
-  Change trial_event(TimeUs now, std::string reason) const;
+  std::optional<LadderEvent> apply_override(TimeUs now);
+  std::optional<LadderEvent> enter_next_level(TimeUs now);
+  std::optional<LadderEvent> consider_leaving(TimeUs now);
+  std::optional<LadderEvent> continue_trial(TimeUs now);
+  LadderEvent move_to(TimeUs now, std::size_t to, std::string reason);
+  LadderEvent trial_event(TimeUs now, std::string reason) const;
   bool may_change(TimeUs now);  // within the change limit; drops the times of changes before its window
   const std::string& name_at(std::size_t position) const;
   std::optional<std::size_t> position_of(const std::string& name) const;
 
   std::vector<const Level*> levels_;
   Trial trial_;
-  ChangeBound change_limit_;
+  ChangeRateLimit change_limit_;
   std::vector<ConditionTracker> enter_, leave_;  // by level
   std::size_t position_ = 0;                     // of the highest active level, from 1; 0: full service
   TimeUs level_since_ = 0;
--- a/src/service_level/level.h
+++ b/src/service_level/level.h
@@ -11,8 +11,8 @@
 namespace orchidgw::service_level {
 
 using limits::Fault;
-using limits::Maybe;
-using limits::Place;
+using limits::FileLocation;
+using limits::OptionalLocated;
 
 // What the controller measures of its own service. Shares are 0 to 1, times microseconds.
 enum class Signal {
@@ -49,7 +49,7 @@
 struct Condition {
   enum class Kind { kComparison, kAll, kAny };
   Kind kind = Kind::kComparison;
-  Place place;
+  FileLocation place;
   SignalKey key;                 // of kComparison, as are the fields up to `hold`
   bool above = true;             // false: holds below the threshold
   double threshold = 0;          // in the signal's unit
@@ -58,16 +58,16 @@
 };
 
 // Whose queries are shed, and which share of them.
-struct Shed {
+struct ShedRule {
   std::string class_name;  // empty: all
   std::string tenant;      // empty: all
   double share = 1;
-  Place place;
+  FileLocation place;
 };
 
 // What a level does while it is active.
 struct Effects {
-  std::vector<Shed> shed;
+  std::vector<ShedRule> shed;
   bool no_second_copies = false;
   bool no_further_attempts = false;
   double limits = 1;        // factor on the limits' rates and concurrency, above 0
@@ -78,7 +78,7 @@
 
 struct Level {
   std::string name;
-  Place place;
+  FileLocation place;
   std::string tenant;  // the level is of this tenant's own ladder; empty: of the general one
   Condition enter;
   Condition leave;
@@ -96,23 +96,23 @@
 };
 
 // Limits the changes of a ladder: at most `most` in any window, whatever the signals do.
-struct ChangeBound {
+struct ChangeRateLimit {
   int most = 4;
   TimeUs window = 600'000'000;
 };
 
 // An operator's override: this level, until then.
-struct Manual {
+struct ManualOverride {
   std::string level;  // "full" for full service
   TimeUs until = 0;   // Unix time, microseconds
-  Place place;
+  FileLocation place;
 };
 
 struct LevelFile {
   std::vector<Level> levels;  // in the order of the file; of each ladder the first sheds least
   Trial trial;
-  ChangeBound changes;
-  std::optional<Manual> manual;
+  ChangeRateLimit changes;
+  std::optional<ManualOverride> manual;
 };
 
 inline constexpr const char* kFullService = "full";
--- a/src/service_level/meters.cpp
+++ b/src/service_level/meters.cpp
@@ -55,20 +55,20 @@
   }
 }
 
-void Meters::taken(TimeUs now, const std::string& class_name, const std::string& tenant) {
+void Meters::query_arrived(TimeUs now, const std::string& class_name, const std::string& tenant) {
   add_to_matching(Signal::kArrivals, class_name, tenant, now, 1, 1);
 }
 
-void Meters::refused(TimeUs now, const std::string& class_name, const std::string& tenant) {
+void Meters::query_refused(TimeUs now, const std::string& class_name, const std::string& tenant) {
   add_to_matching(Signal::kRefusedShare, class_name, tenant, now, 1, 1);
 }
 
-void Meters::answered(TimeUs now, const std::string& class_name, const std::string& tenant, bool late) {
+void Meters::query_answered(TimeUs now, const std::string& class_name, const std::string& tenant, bool late) {
   add_to_matching(Signal::kRefusedShare, class_name, tenant, now, 0, 1);
   add_to_matching(Signal::kLateShare, class_name, tenant, now, late ? 1 : 0, 1);
 }
 
-void Meters::attempt(TimeUs now, const EngineId& engine, double slowdown) {
+void Meters::attempt_succeeded(TimeUs now, const EngineId& engine, double slowdown) {
   const double capped = std::min(slowdown, kMaxSlowdown);
   add_to_matching(Signal::kSlowdown, "", "", now, capped, 1);
   add_to_matching(Signal::kSlowestEngine, "", "", now, capped,
@@ -78,7 +78,7 @@
     it->second.add(now, kEngineWindow, capped, 1);
 }
 
-void Meters::engines(const std::vector<EngineId>& listed, std::size_t in_service) {
+void Meters::set_engines(const std::vector<EngineId>& listed, std::size_t in_service) {
   engine_count_ = listed.size();
   in_service_count_ = in_service;
   if (!watches_engines_) return;
--- a/src/service_level/meters.h
+++ b/src/service_level/meters.h
@@ -38,15 +38,15 @@
   explicit Meters(std::vector<SignalKey> keys);
 
   // Counts a query that arrives.
-  void taken(TimeUs now, const std::string& class_name, const std::string& tenant);
+  void query_arrived(TimeUs now, const std::string& class_name, const std::string& tenant);
   // Not for a query that a level shed, which counts neither as refused nor as answered: the level would keep
   // itself active, or look better for what it sheds.
-  void refused(TimeUs now, const std::string& class_name, const std::string& tenant);
-  void answered(TimeUs now, const std::string& class_name, const std::string& tenant, bool late);
+  void query_refused(TimeUs now, const std::string& class_name, const std::string& tenant);
+  void query_answered(TimeUs now, const std::string& class_name, const std::string& tenant, bool late);
   // A successful attempt; `slowdown`: its time / its expected time (above 0).
-  void attempt(TimeUs now, const EngineId& engine, double slowdown);
+  void attempt_succeeded(TimeUs now, const EngineId& engine, double slowdown);
   // Replaces the list of known engines; `in_service` of them are in service.
-  void engines(const std::vector<EngineId>& listed, std::size_t in_service);
+  void set_engines(const std::vector<EngineId>& listed, std::size_t in_service);
   // The values that are read at each sample; times in microseconds, `buffers` as a share.
   void sample(TimeUs now, std::size_t queue_length, TimeUs queue_age, TimeUs loop_lag, double buffers);
 
--- a/src/service_level/recorder.cpp
+++ b/src/service_level/recorder.cpp
@@ -35,7 +35,7 @@
 
 }  // namespace
 
-std::string column_of(const SignalKey& key) {
+std::string column_name(const SignalKey& key) {
   const auto or_dash = [](const std::string& text) { return text.empty() ? std::string("-") : text; };
   return std::string(name_of(key.signal)) + "/" + or_dash(key.class_name) + "/" + or_dash(key.tenant) + "/" +
          std::to_string(key.window / 1000);
@@ -59,7 +59,7 @@
 
 void Recorder::write(std::ostream& out, const std::string& prefix) const {
   out << prefix << "time_ms";
-  for (const SignalKey& key : keys_) out << ',' << column_of(key);
+  for (const SignalKey& key : keys_) out << ',' << column_name(key);
   out << '\n';
   for (std::size_t i = 0; i < samples_.size(); ++i) {
     const Sample& sample = samples_[(next_slot_ + i) % samples_.size()];
@@ -107,11 +107,11 @@
 }
 
 bool Recording::has(const SignalKey& key) const {
-  return std::find(columns_.begin(), columns_.end(), column_of(key)) != columns_.end();
+  return std::find(columns_.begin(), columns_.end(), column_name(key)) != columns_.end();
 }
 
 std::optional<double> Recording::value(TimeUs, const SignalKey& key) const {
-  const auto it = std::find(columns_.begin(), columns_.end(), column_of(key));
+  const auto it = std::find(columns_.begin(), columns_.end(), column_name(key));
   if (it == columns_.end()) return std::nullopt;
   return rows_[rows_read_ - 1][static_cast<std::size_t>(it - columns_.begin()) - 1];
 }
--- a/src/service_level/recorder.h
+++ b/src/service_level/recorder.h
@@ -13,7 +13,7 @@
 
 // A signal's column name in the CSV header: signal, class, tenant and window in ms, separated by '/'; '-'
 // means all.
-std::string column_of(const SignalKey& key);
+std::string column_name(const SignalKey& key);
 
 class Recorder {
  public:
--- a/src/service_level/service_level.cpp
+++ b/src/service_level/service_level.cpp
@@ -16,7 +16,7 @@
   for (const Condition& part : condition.parts) collect_signals(part, to);
 }
 
-void add_effects(Combined& to, const Effects& effects) {
+void add_effects(CombinedEffects& to, const Effects& effects) {
   to.no_second_copies = to.no_second_copies || effects.no_second_copies;
   to.no_further_attempts = to.no_further_attempts || effects.no_further_attempts;
   if (effects.longest_hold > 0)
@@ -34,13 +34,13 @@
 
 double to_unit_interval(std::uint64_t bits) { return static_cast<double>(mix_bits(bits) >> 11) * 0x1p-53; }
 
-std::uint64_t hash_of(const ShedQuery& query) {
+std::uint64_t hash_of(const ShedCandidate& query) {
   const std::hash<std::string_view> hash;
   return mix_bits(hash(query.identity)) ^ mix_bits(hash(query.class_name) + 1) ^
          mix_bits(hash(query.tenant) + 2);
 }
 
-bool matches(const Shed& shed, const ShedQuery& query) {
+bool matches(const ShedRule& shed, const ShedCandidate& query) {
   return (shed.class_name.empty() || shed.class_name == query.class_name) &&
          (shed.tenant.empty() || shed.tenant == query.tenant);
 }
@@ -84,17 +84,17 @@
     const TimeUs longest = effects().longest_hold;
     return longest > 0 ? std::min(until, accepted_at_ + longest) : until;
   }
-  bool copy_due(TimeUs now, TimeUs sent_at, int sent) const override {
-    return inner_ && !forbids_attempt(true) && inner_->copy_due(now, sent_at, sent);
+  bool second_copy_due(TimeUs now, TimeUs sent_at, int sent) const override {
+    return inner_ && !forbids_attempt(true) && inner_->second_copy_due(now, sent_at, sent);
   }
 
  private:
-  const Combined& effects() const {
+  const CombinedEffects& effects() const {
     const auto it = active_effects_->by_tenant.find(tenant_);
     return it == active_effects_->by_tenant.end() ? active_effects_->general : it->second;
   }
   bool forbids_attempt(bool copy) const {
-    const Combined& active = effects();
+    const CombinedEffects& active = effects();
     return active.no_further_attempts || (copy && active.no_second_copies);
   }
 
@@ -104,7 +104,7 @@
   TimeUs accepted_at_;
 };
 
-void ServiceLevel::put_in_force(TimeUs now, std::shared_ptr<const LevelFile> file) {
+void ServiceLevel::activate(TimeUs now, std::shared_ptr<const LevelFile> file) {
   if (file && file->levels.empty()) file = nullptr;
   std::vector<Scope> scopes;
   if (file) {
@@ -120,7 +120,7 @@
       for (const Scope& before : scopes_)
         if (before.tenant == tenant) scope.ladder->adopt_state(*before.ladder);
       if (file->manual && file->manual->until > now)
-        scope.ladder->set_by_hand(file->manual->level, file->manual->until);
+        scope.ladder->override_level(file->manual->level, file->manual->until);
       scopes.push_back(std::move(scope));
     }
     meters_ = std::make_unique<Meters>(signals_of(*file));
@@ -140,10 +140,10 @@
   recompute_effects();
 }
 
-std::vector<Change> ServiceLevel::sample(TimeUs now, const Readings& readings) {
-  std::vector<Change> changes;
-  if (!on()) return changes;
-  meters_->sample(now, readings.line, readings.line_age, readings.loop_lag, readings.buffers);
+std::vector<LadderEvent> ServiceLevel::sample(TimeUs now, const Readings& readings) {
+  std::vector<LadderEvent> changes;
+  if (!has_levels()) return changes;
+  meters_->sample(now, readings.queue_length, readings.queue_age, readings.loop_lag, readings.buffers);
   recorder_->record(now, *meters_);
   const TimeUs passed = last_sample_ > 0 ? std::max<TimeUs>(now - last_sample_, 0) : 0;
   last_sample_ = now;
@@ -160,57 +160,59 @@
 // In a ladder, the active level and all below it apply: a level adds to those below it.
 void ServiceLevel::recompute_effects() {
   *active_effects_ = {};
-  const auto add_active_effects = [&](const Scope& scope, Combined& to) {
+  const auto add_active_effects = [&](const Scope& scope, CombinedEffects& to) {
     if (!file_) return;
     std::size_t position = 0;
     for (const Level& level : file_->levels)
-      if (level.tenant == scope.tenant && position++ < scope.ladder->height()) add_effects(to, level.effects);
+      if (level.tenant == scope.tenant && position++ < scope.ladder->active_level_count())
+        add_effects(to, level.effects);
   };
   for (const Scope& scope : scopes_)
     if (scope.tenant.empty()) add_active_effects(scope, active_effects_->general);
   for (const Scope& scope : scopes_) {
     if (scope.tenant.empty()) continue;
-    Combined& own = active_effects_->by_tenant[scope.tenant];
+    CombinedEffects& own = active_effects_->by_tenant[scope.tenant];
     own = active_effects_->general;
     add_active_effects(scope, own);
   }
 }
 
-double ServiceLevel::shed_draw(const ShedQuery& query, const Ladder& ladder) const {
+double ServiceLevel::shed_draw(const ShedCandidate& query, const Ladder& ladder) const {
   // Differs after each change of level, so that not always the same clients are shed; constant while the
   // level is active, so that a retry gets the same answer.
-  return to_unit_interval(hash_of(query) + 0x9e3779b97f4a7c15ULL * (ladder.changes_made() + 1));
+  return to_unit_interval(hash_of(query) + 0x9e3779b97f4a7c15ULL * (ladder.change_count() + 1));
 }
 
-const Level* ServiceLevel::sheds(const ShedQuery& query) const {
+const Level* ServiceLevel::shedding_level(const ShedCandidate& query) const {
   if (query.keyed_retry) return nullptr;
   for (const Scope& scope : scopes_) {
-    if (scope.ladder->height() == 0) continue;
+    if (scope.ladder->active_level_count() == 0) continue;
     if (!scope.tenant.empty() && scope.tenant != query.tenant) continue;
     const double draw = shed_draw(query, *scope.ladder);
     std::size_t position = 0;
     for (const Level& level : file_->levels) {
       if (level.tenant != scope.tenant) continue;
-      if (position++ >= scope.ladder->height()) break;
-      const bool is_highest = position == scope.ladder->height();
+      if (position++ >= scope.ladder->active_level_count()) break;
+      const bool is_highest = position == scope.ladder->active_level_count();
       const double admitted = is_highest ? scope.ladder->admitted_share() : 0;
-      for (const Shed& shed : level.effects.shed)
+      for (const ShedRule& shed : level.effects.shed)
         if (matches(shed, query) && draw < shed.share * (1 - admitted)) return &level;
     }
   }
   return nullptr;
 }
 
-bool ServiceLevel::sheds_any() const {
-  return std::any_of(scopes_.begin(), scopes_.end(), [](const Scope& s) { return s.ladder->height() > 0; });
+bool ServiceLevel::any_level_active() const {
+  return std::any_of(scopes_.begin(), scopes_.end(),
+                     [](const Scope& s) { return s.ladder->active_level_count() > 0; });
 }
 
-TimeUs ServiceLevel::come_back_in(const ShedQuery& query, TimeUs most) const {
+TimeUs ServiceLevel::retry_after(const ShedCandidate& query, TimeUs most) const {
   const double part = 0.5 + 0.5 * to_unit_interval(hash_of(query) ^ static_cast<std::uint64_t>(last_sample_));
   return static_cast<TimeUs>(part * static_cast<double>(most));
 }
 
-Combined ServiceLevel::effects_for(std::string_view tenant) const {
+CombinedEffects ServiceLevel::effects_for(std::string_view tenant) const {
   const auto it = active_effects_->by_tenant.find(tenant);
   return it == active_effects_->by_tenant.end() ? active_effects_->general : it->second;
 }
@@ -221,14 +223,16 @@
     if (!scope.tenant.empty()) continue;
     std::size_t position = 0;
     for (const Level& level : file_->levels)
-      if (level.tenant.empty() && position++ < scope.ladder->height()) scale *= level.effects.limits;
+      if (level.tenant.empty() && position++ < scope.ladder->active_level_count())
+        scale *= level.effects.limits;
   }
   return scale;
 }
 
-std::shared_ptr<const QueryLimits> ServiceLevel::over(std::shared_ptr<const QueryLimits> inner,
-                                                      const std::string& tenant, TimeUs accepted_at) const {
-  if (!on()) return inner;
+std::shared_ptr<const QueryLimits> ServiceLevel::wrap_query_limits(std::shared_ptr<const QueryLimits> inner,
+                                                                   const std::string& tenant,
+                                                                   TimeUs accepted_at) const {
+  if (!has_levels()) return inner;
   return std::make_shared<const LevelQueryLimits>(std::move(inner), active_effects_, tenant, accepted_at);
 }
 
@@ -238,8 +242,8 @@
   return kFullService;
 }
 
-void ServiceLevel::set_by_hand(const std::string& level, TimeUs until) {
-  for (const Scope& scope : scopes_) scope.ladder->set_by_hand(level, until);
+void ServiceLevel::override_level(const std::string& level, TimeUs until) {
+  for (const Scope& scope : scopes_) scope.ladder->override_level(level, until);
 }
 
 bool ServiceLevel::has_level(const std::string& level) const {
@@ -260,15 +264,15 @@
       out += " for " + std::to_string((now - ladder.level_since()) / 1'000'000) + " s";
     if (ladder.admitted_share() > 0)
       out += ", trial with " + std::to_string(std::lround(ladder.admitted_share() * 100)) + "% let in";
-    out += ", changes " + std::to_string(ladder.changes_made()) + "\n";
+    out += ", changes " + std::to_string(ladder.change_count()) + "\n";
   }
   if (scopes_.empty()) out = "no levels in the operators' file\n";
   return out;
 }
 
-std::uint64_t ServiceLevel::changes_made() const {
+std::uint64_t ServiceLevel::change_count() const {
   std::uint64_t n = 0;
-  for (const Scope& scope : scopes_) n += scope.ladder->changes_made();
+  for (const Scope& scope : scopes_) n += scope.ladder->change_count();
   return n;
 }
 
