--- a/src/sim/codec.cpp
+++ b/src/sim/codec.cpp
@@ -9,8 +9,8 @@
 namespace orchidgw::sim {
 namespace {
 
+using config::throw_field_error;
 using config::to_integer;
-using config::wrong;
 using rapidjson::SizeType;
 using rapidjson::Value;
 
@@ -21,13 +21,13 @@
 }
 
 const Value& EventReader::at(SizeType index, const char* name) const {
-  if (absent(index)) wrong(name, "missing");
+  if (absent(index)) throw_field_error(name, "missing");
   return message_[index];
 }
 
 std::string EventReader::text(SizeType index, const char* name) const {
   const Value& value = at(index, name);
-  if (!value.IsString()) wrong(name, "a text is needed");
+  if (!value.IsString()) throw_field_error(name, "a text is needed");
   return {value.GetString(), value.GetStringLength()};
 }
 
@@ -46,13 +46,14 @@
 
 QueryId EventReader::query(SizeType index, const char* name) const {
   const std::int64_t value = integer(index, name);
-  if (value < 0 || value > std::numeric_limits<QueryId>::max()) wrong(name, "a number below 2^32 is needed");
+  if (value < 0 || value > std::numeric_limits<QueryId>::max())
+    throw_field_error(name, "a number below 2^32 is needed");
   return static_cast<QueryId>(value);
 }
 
 double EventReader::number(SizeType index, const char* name) const {
   const Value& value = at(index, name);
-  if (!value.IsNumber()) wrong(name, "a number is needed");
+  if (!value.IsNumber()) throw_field_error(name, "a number is needed");
   return value.GetDouble();
 }
 
@@ -62,7 +63,7 @@
 
 bool EventReader::flag(SizeType index, const char* name) const {
   const Value& value = at(index, name);
-  if (!value.IsBool()) wrong(name, "true or false is needed");
+  if (!value.IsBool()) throw_field_error(name, "true or false is needed");
   return value.GetBool();
 }
 
@@ -81,26 +82,26 @@
 
 const Value& EventReader::object(SizeType index, const char* name) const {
   const Value& value = at(index, name);
-  if (!value.IsObject()) wrong(name, "an object is needed");
+  if (!value.IsObject()) throw_field_error(name, "an object is needed");
   return value;
 }
 
 const Value& EventReader::array(SizeType index, const char* name) const {
   const Value& value = at(index, name);
-  if (!value.IsArray()) wrong(name, "a list is needed");
+  if (!value.IsArray()) throw_field_error(name, "a list is needed");
   return value;
 }
 
 std::vector<EngineEntry> read_entries(const Value& list) {
   std::vector<EngineEntry> out;
   for (const auto& item : list.GetArray()) {
-    if (!item.IsArray()) wrong("membersList", "a list of lists is needed");
+    if (!item.IsArray()) throw_field_error("membersList", "a list of lists is needed");
     const EventReader fields(item);
     EngineEntry entry;
     entry.zone = fields.text_or_empty(0, "rackZone");
     entry.started_at = fields.integer_or(2, "born", 0);
-    const auto state = config::engine_state_named(fields.text(3, "phase"));
-    if (!state) wrong("phase", "unknown word");
+    const auto state = config::parse_engine_state(fields.text(3, "phase"));
+    if (!state) throw_field_error("phase", "unknown word");
     entry.state = *state;
     entry.id = fields.text(4, "executor");
     entry.kind = fields.text_or_empty(5, "machine");
@@ -111,7 +112,7 @@
 }
 
 OutcomeKind read_outcome_kind(std::int64_t code) {
-  if (code < 0 || code > 7) wrong("verdict", "unknown outcome");
+  if (code < 0 || code > 7) throw_field_error("verdict", "unknown outcome");
   return static_cast<OutcomeKind>(code);
 }
 
@@ -142,7 +143,7 @@
   for (const char c : text) {
     if (c == '=') break;
     const int digit = digits[static_cast<unsigned char>(c)];
-    if (digit < 0) wrong("bytes", "base64 is needed");
+    if (digit < 0) throw_field_error("bytes", "base64 is needed");
     bits = (bits << 6 | static_cast<unsigned>(digit)) & 0xffffffU;
     bit_count += 6;
     if (bit_count >= 8) {
@@ -209,7 +210,7 @@
   writer_.EndArray();
 }
 
-void ReplyWriter::set_terms(QueryId query, int priority, double grant_mb) {
+void ReplyWriter::set_priority_and_grant(QueryId query, int priority, double grant_mb) {
   begin_action("LIMITS_FOR");
   writer_.Uint(query);
   writer_.Int(priority);
@@ -234,7 +235,7 @@
   writer_.EndArray();
 }
 
-void ReplyWriter::tell_all(const std::string& bytes) {
+void ReplyWriter::broadcast_to_peers(const std::string& bytes) {
   begin_action("NOTIFY");
   writer_.String("all");
   text(to_base64(bytes));
--- a/src/sim/codec.h
+++ b/src/sim/codec.h
@@ -59,11 +59,11 @@
   void refuse(QueryId query, TimeUs retry_after) override;
   void fail(QueryId query) override;
   void cancel(QueryId query, int attempt) override;
-  void set_terms(QueryId query, int priority, double grant_mb) override;
+  void set_priority_and_grant(QueryId query, int priority, double grant_mb) override;
   void probe(const EngineId& engine) override;
   void subscribe() override;
   void fetch_list() override;
-  void tell_all(const std::string& bytes) override;
+  void broadcast_to_peers(const std::string& bytes) override;
   void set_timer(TimeUs delay, std::uint64_t token) override;
   void log(const std::string& text) override;
 
--- a/src/sim/host.cpp
+++ b/src/sim/host.cpp
@@ -83,10 +83,10 @@
   const auto seed = static_cast<std::uint64_t>(fields.integer_or(2, "seed", 0));
   try {
     Settings settings = config::read_settings(fields.object(3, "env"));
-    settings.limits.unsent_attempts_count = true;
+    settings.limits.count_unsent_attempts = true;
     Instance instance;
     instance.module = make_workload_budget(settings, seed);
-    instance.tells_cost = settings.tells_cost;
+    instance.engines_report_cost = settings.engines_report_cost;
     for (size_t i = 0; i < settings.classes.size(); ++i)
       instance.classes[settings.classes[i].name] = static_cast<int>(i);
     instances_[name] = std::move(instance);
@@ -124,7 +124,7 @@
     if (class_entry == instance.classes.end())
       throw WireError("field 'qos': unknown class '" + class_name + "'");
     query.class_index = class_entry->second;
-    query.repeat = fields.flag_or(7, "isRetry", false);
+    query.is_retry = fields.flag_or(7, "isRetry", false);
     query.time_budget = fields.integer(8, "timeBudget");
     query.key = fields.text_or_empty(9, "object");
     query.memory_mb = fields.number_or(10, "wantMb", 0);
@@ -141,9 +141,9 @@
     outcome.kind = read_outcome_kind(fields.integer(7, "verdict"));
     outcome.attempt = static_cast<int>(fields.integer(8, "attempt"));
     outcome.report = fields.report(9, "report");
-    if (instance.tells_cost && outcome.kind == OutcomeKind::kOk && note > 0) {
-      outcome.told_cost = note / kNoteUnitsPerMs * 1000;
-      outcome.told_memory_mb = static_cast<double>(note % kNoteUnitsPerMs) * kNoteMemoryMb;
+    if (instance.engines_report_cost && outcome.kind == OutcomeKind::kOk && note > 0) {
+      outcome.reported_cost = note / kNoteUnitsPerMs * 1000;
+      outcome.reported_memory_mb = static_cast<double>(note % kNoteUnitsPerMs) * kNoteMemoryMb;
     }
     return module.on_outcome(now, outcome, reply);
   }
--- a/src/sim/host.h
+++ b/src/sim/host.h
@@ -27,7 +27,7 @@
   struct Instance {
     std::unique_ptr<DecisionModule> module;
     std::map<std::string, int> classes;  // index of each class in the settings, by name
-    bool tells_cost = false;
+    bool engines_report_cost = false;
   };
   void handle_event(TimeUs now, const rapidjson::Value& message, ReplyWriter& reply);
   void start_instance(const std::string& name, const EventReader& fields, ReplyWriter& reply);
--- a/src/store/lmdb_environment.cpp
+++ b/src/store/lmdb_environment.cpp
@@ -93,7 +93,7 @@
     close_all();
     const std::string what = folder + ": " + why;
     const SystemCallError cause(call, error, what);
-    if (cause.may_pass()) throw StoreUnavailable(what, cause);
+    if (cause.is_transient()) throw StoreUnavailable(what, cause);
     throw StoreError(what, false);
   };
   const std::string file = folder + "/data.mdb";
--- a/src/store/lmdb_store.cpp
+++ b/src/store/lmdb_store.cpp
@@ -58,7 +58,7 @@
   append_text(out, owner.fleet);
   append_number(out, owner.number);
   append_number(out, owner.keeper);
-  for (const std::uint32_t keeper : owner.begun) append_number(out, keeper);
+  for (const std::uint32_t keeper : owner.bootstrapped) append_number(out, keeper);
   return out;
 }
 
@@ -67,7 +67,7 @@
   out.fleet = read_text(record);
   out.number = read_number(record);
   out.keeper = static_cast<std::uint32_t>(read_number(record));
-  while (!record.empty()) out.begun.insert(static_cast<std::uint32_t>(read_number(record)));
+  while (!record.empty()) out.bootstrapped.insert(static_cast<std::uint32_t>(read_number(record)));
   return out;
 }
 
@@ -161,10 +161,10 @@
 
 LmdbStore::~LmdbStore() = default;
 
-Stored LmdbStore::load() {
+StoredLog LmdbStore::load() {
   return name_folder_in_errors(impl_->environment.folder(), [this] {
     const Transaction txn(impl_->environment.get(), MDB_RDONLY);
-    Stored out;
+    StoredLog out;
     if (const auto record = impl_->get_record(txn.get(), kKeyOwner)) out.owner = decode_owner(*record);
     out.term = impl_->get_number(txn.get(), kKeyTerm);
     out.vote = impl_->get_number(txn.get(), kKeyVote);
@@ -227,7 +227,7 @@
   return record ? std::optional(decode_snapshot(*record)) : std::nullopt;
 }
 
-bool LmdbStore::waiting() const { return !impl_->pending_writes.empty(); }
+bool LmdbStore::has_pending_writes() const { return !impl_->pending_writes.empty(); }
 
 void LmdbStore::commit() {
   if (impl_->pending_writes.empty()) return;
--- a/src/store/lmdb_store.h
+++ b/src/store/lmdb_store.h
@@ -12,7 +12,7 @@
 namespace orchidgw::store {
 
 // Bound on the size of a keeper's store; its log is compacted long before it grows so large.
-inline constexpr std::size_t kKeeperBytes = std::size_t{256} * 1024 * 1024;
+inline constexpr std::size_t kMaxKeeperStoreBytes = std::size_t{256} * 1024 * 1024;
 
 class LmdbStore final : public LogStore {
  public:
@@ -24,7 +24,7 @@
   LmdbStore(const std::string& folder, std::size_t max_bytes, Open open = Open::kWrite);
   ~LmdbStore() override;
 
-  Stored load() override;
+  StoredLog load() override;
   void set_owner(const StoredOwner& owner) override;
   void set_term(std::uint64_t term) override;
   void set_vote(std::uint64_t vote) override;
@@ -32,7 +32,7 @@
   void truncate(std::uint64_t from) override;
   void put_snapshot(StoredSnapshot snapshot, std::uint64_t drop_through) override;
   std::optional<StoredSnapshot> snapshot() override;
-  bool waiting() const override;
+  bool has_pending_writes() const override;
   void commit() override;
 
  private:
--- a/src/store/log_store.h
+++ b/src/store/log_store.h
@@ -37,12 +37,12 @@
   std::string fleet;         // name of the fleet
   std::uint64_t number = 0;  // of the fleet
   std::uint32_t keeper = 0;  // id
-  std::set<std::uint32_t> begun;
+  std::set<std::uint32_t> bootstrapped;
   bool operator==(const StoredOwner&) const = default;
 };
 
 // All that a store holds.
-struct Stored {
+struct StoredLog {
   std::optional<StoredOwner> owner;  // none: the store is new, or was written by a version without owners
   std::uint64_t term = 0;
   std::uint64_t vote = 0;  // the keeper that got this one's vote in `term`; 0: none
@@ -51,7 +51,7 @@
   std::vector<StoredEntry> entries;
   // True: there is no log; `owner` may be set all the same.
   bool empty() const { return term == 0 && !snapshot && entries.empty(); }
-  bool operator==(const Stored&) const = default;
+  bool operator==(const StoredLog&) const = default;
 };
 
 // A failure of the store. Nothing written since the last commit is stored; everything before it is.
@@ -80,7 +80,7 @@
 class LogStore {
  public:
   virtual ~LogStore() = default;
-  virtual Stored load() = 0;  // reads all that is committed
+  virtual StoredLog load() = 0;  // reads all that is committed
   virtual void set_owner(const StoredOwner& owner) = 0;
   virtual void set_term(std::uint64_t term) = 0;  // resets the vote
   virtual void set_vote(std::uint64_t vote) = 0;
@@ -90,7 +90,7 @@
   // Replaces the snapshot and removes the entries up to `drop_through`, included.
   virtual void put_snapshot(StoredSnapshot snapshot, std::uint64_t drop_through) = 0;
   virtual std::optional<StoredSnapshot> snapshot() = 0;  // the committed one
-  virtual bool waiting() const = 0;                      // true: there are writes since the last commit
+  virtual bool has_pending_writes() const = 0;           // true: there are writes since the last commit
   virtual void commit() = 0;
 };
 
--- a/src/thrift/fleet_codec.cpp
+++ b/src/thrift/fleet_codec.cpp
@@ -21,13 +21,13 @@
 };
 struct KeyHoldEntry {  // an entry in the table of held keys
   std::string identity;
-  Rest rest;
+  KeyHold key_hold;
 };
 struct EncodedState {
   Terms terms;
   std::vector<MemberEntry> members;
   Parts level = kFullLevel;
-  std::vector<KeyHoldEntry> rests;
+  std::vector<KeyHoldEntry> holds;
   std::uint64_t last_number = 0;
   bool settled = false;
 };
@@ -41,45 +41,46 @@
     f(1, t.name), f(2, t.whole), f(3, t.cut_off), f(4, t.reserve), f(5, t.least);
   } else if constexpr (std::is_same_v<S, Terms>) {
     f(1, t.revision), f(2, t.largest), f(3, t.term), f(4, t.drift_ppm), f(5, t.allowances), f(6, t.ramp);
-    f(7, t.longest_rest);
-  } else if constexpr (std::is_same_v<S, Ask>) {
+    f(7, t.longest_key_hold);
+  } else if constexpr (std::is_same_v<S, LeaseRequest>) {
     f(1, t.from), f(2, t.seq), f(3, t.revision), f(4, t.acked), f(5, t.leaving), f(6, t.demand), f(7, t.held);
   } else if constexpr (std::is_same_v<S, Grant>) {
     f(1, t.to), f(2, t.seq), f(3, t.kind), f(4, t.number), f(5, t.revision), f(6, t.term), f(7, t.live);
-    f(8, t.place), f(9, t.parts), f(10, t.level), f(11, t.settled);
+    f(8, t.place), f(9, t.parts), f(10, t.level), f(11, t.half_granted);
   } else if constexpr (std::is_same_v<S, Expiry>) {
     f(1, t.member), f(2, t.number);
   } else if constexpr (std::is_same_v<S, fleet::Entry>) {
     f(1, t.budget.terms), f(2, t.budget.expired), f(3, t.budget.asks), f(4, t.budget.level);
-    f(5, t.keys.over), f(6, t.keys.settled), f(7, t.keys.asks);
-  } else if constexpr (std::is_same_v<S, Want>) {
-    f(1, t.query), f(2, t.identity), f(3, t.rest);
-  } else if constexpr (std::is_same_v<S, Free>) {
+    f(5, t.keys.ended_holds), f(6, t.keys.settled), f(7, t.keys.asks);
+  } else if constexpr (std::is_same_v<S, HoldRequest>) {
+    f(1, t.query), f(2, t.identity), f(3, t.key_hold);
+  } else if constexpr (std::is_same_v<S, HoldRelease>) {
     f(1, t.query), f(2, t.identity);
-  } else if constexpr (std::is_same_v<S, KeyAsk>) {
+  } else if constexpr (std::is_same_v<S, KeyRequest>) {
     f(1, t.from), f(2, t.seq), f(3, t.wants), f(4, t.free);
-  } else if constexpr (std::is_same_v<S, KeyTold>) {
+  } else if constexpr (std::is_same_v<S, KeyReply>) {
     f(1, t.to), f(2, t.seq), f(3, t.wants);
-  } else if constexpr (std::is_same_v<S, Rest>) {
+  } else if constexpr (std::is_same_v<S, KeyHold>) {
     f(1, t.holder), f(2, t.query), f(3, t.number), f(4, t.time);
   } else if constexpr (std::is_same_v<S, KeyHoldEntry>) {
-    f(1, t.identity), f(2, t.rest);
+    f(1, t.identity), f(2, t.key_hold);
   } else if constexpr (std::is_same_v<S, Member>) {
     f(1, t.seq), f(2, t.number), f(3, t.acked), f(4, t.superseded), f(5, t.term), f(6, t.demand);
     f(7, t.granted), f(8, t.held), f(9, t.unacked);
   } else if constexpr (std::is_same_v<S, MemberEntry>) {
     f(1, t.key), f(2, t.member);
   } else if constexpr (std::is_same_v<S, EncodedState>) {
-    f(1, t.terms), f(2, t.members), f(3, t.level), f(4, t.rests), f(5, t.last_number), f(6, t.settled);
+    f(1, t.terms), f(2, t.members), f(3, t.level), f(4, t.holds), f(5, t.last_number), f(6, t.settled);
   } else if constexpr (std::is_same_v<S, Hello>) {
-    f(1, t.version), f(2, t.fleet), f(3, t.number), f(4, t.from), f(5, t.keeper), f(6, t.begun), f(7, t.at);
+    f(1, t.version), f(2, t.fleet), f(3, t.number), f(4, t.from), f(5, t.keeper), f(6, t.bootstrapped),
+        f(7, t.at);
   } else if constexpr (std::is_same_v<S, LogPosition>) {
     f(1, t.term), f(2, t.index);
-  } else if constexpr (std::is_same_v<S, LogStanding>) {
+  } else if constexpr (std::is_same_v<S, LogProgress>) {
     f(1, t.term), f(2, t.last), f(3, t.agreed);
-  } else if constexpr (std::is_same_v<S, GrantTold>) {
+  } else if constexpr (std::is_same_v<S, GrantReply>) {
     f(1, t.grant), f(2, t.terms), f(3, t.keys_settled);
-  } else if constexpr (std::is_same_v<S, Elsewhere>) {
+  } else if constexpr (std::is_same_v<S, Redirect>) {
     f(1, t.seq), f(2, t.leader);
   } else if constexpr (std::is_same_v<S, LogEntry>) {
     f(1, t.term), f(2, t.type), f(3, t.data);
@@ -232,7 +233,7 @@
 
 }  // namespace
 
-std::string write_fleet(const fleet::Message& message) {
+std::string encode_fleet_message(const fleet::Message& message) {
   Writer body;
   body.message(MessageType::kOneway, kMessageNames[message.index()], 0);
   std::visit([&body](const auto& value) { write(body, value); }, message);
@@ -241,7 +242,7 @@
   return out.text();
 }
 
-std::optional<fleet::Message> read_fleet(std::string_view frame) {
+std::optional<fleet::Message> decode_fleet_message(std::string_view frame) {
   Reader reader(frame);
   const std::uint32_t head = reader.u32();
   const std::string_view name = reader.bytes();
@@ -251,32 +252,32 @@
   return read_as<0>(name, reader);
 }
 
-std::string write_entry(const fleet::Entry& entry) { return bytes_of(entry); }
+std::string encode_entry(const fleet::Entry& entry) { return bytes_of(entry); }
 
-std::optional<fleet::Entry> read_entry(std::string_view bytes) {
+std::optional<fleet::Entry> decode_entry(std::string_view bytes) {
   Reader reader(bytes);
   return read_all<fleet::Entry>(reader);
 }
 
-std::string write_state(const fleet::State& state) {
+std::string encode_state(const fleet::State& state) {
   const budget::Ledger& ledger = state.ledger;
   EncodedState out{ledger.terms(), {}, ledger.level(), {}, state.keys.last_number(), state.keys.settled()};
   for (const auto& [key, member] : ledger.members()) out.members.push_back({key, member});
-  for (const auto& [identity, rest] : state.keys.rests()) out.rests.push_back({identity, rest});
+  for (const auto& [identity, key_hold] : state.keys.holds()) out.holds.push_back({identity, key_hold});
   return bytes_of(out);
 }
 
-std::optional<fleet::State> read_state(std::string_view bytes) {
+std::optional<fleet::State> decode_state(std::string_view bytes) {
   Reader reader(bytes);
   auto state = read_all<EncodedState>(reader);
   if (!state || !list_lengths_match(*state)) return std::nullopt;
   std::map<MemberKey, Member> members;
   for (MemberEntry& m : state->members) members.emplace(std::move(m.key), std::move(m.member));
-  KeyTable::Rests rests;
-  for (KeyHoldEntry& one : state->rests) rests.emplace(std::move(one.identity), std::move(one.rest));
+  KeyTable::KeyHolds holds;
+  for (KeyHoldEntry& one : state->holds) holds.emplace(std::move(one.identity), std::move(one.key_hold));
   fleet::State out;
   out.ledger.restore(std::move(state->terms), std::move(members), state->level);
-  out.keys.restore(std::move(rests), state->last_number, state->settled);
+  out.keys.restore(std::move(holds), state->last_number, state->settled);
   return out;
 }
 
--- a/src/thrift/fleet_codec.h
+++ b/src/thrift/fleet_codec.h
@@ -12,16 +12,17 @@
 
 namespace orchidgw::thrift {
 
-inline constexpr std::size_t kFleetFrameMost = std::size_t{4} * 1024 * 1024;
+inline constexpr std::size_t kMaxFleetFrameBytes = std::size_t{4} * 1024 * 1024;
 
-std::string write_fleet(const fleet::Message& message);            // with the length of the frame before it
-std::optional<fleet::Message> read_fleet(std::string_view frame);  // without the length; nullopt: invalid
+std::string encode_fleet_message(const fleet::Message& message);  // with the length of the frame before it
+std::optional<fleet::Message> decode_fleet_message(
+    std::string_view frame);  // without the length; nullopt: invalid
 
 // What keepers store: entries of their log and snapshots of their state. Reading returns nullopt for bytes
 // that are invalid.
-std::string write_entry(const fleet::Entry& entry);
-std::optional<fleet::Entry> read_entry(std::string_view bytes);
-std::string write_state(const fleet::State& state);
-std::optional<fleet::State> read_state(std::string_view bytes);
+std::string encode_entry(const fleet::Entry& entry);
+std::optional<fleet::Entry> decode_entry(std::string_view bytes);
+std::string encode_state(const fleet::State& state);
+std::optional<fleet::State> decode_state(std::string_view bytes);
 
 }  // namespace orchidgw::thrift
--- a/src/thrift/frame_reader.cpp
+++ b/src/thrift/frame_reader.cpp
@@ -20,7 +20,7 @@
     if (body_.capacity() > kMaxKeptCapacity) body_.shrink_to_fit();
   }
   while (length_bytes_ < kLengthBytes) {
-    if (bytes.empty()) return Result::kMore;
+    if (bytes.empty()) return Result::kNeedMore;
     length_ = length_ << 8 | static_cast<unsigned char>(bytes.front());
     bytes.remove_prefix(1);
     ++length_bytes_;
@@ -29,7 +29,7 @@
   const std::size_t n = std::min<std::size_t>(bytes.size(), length_ - body_.size());
   body_.append(bytes.substr(0, n));
   bytes.remove_prefix(n);
-  if (body_.size() < length_) return Result::kMore;
+  if (body_.size() < length_) return Result::kNeedMore;
   complete_ = true;
   return Result::kFrame;
 }
--- a/src/thrift/frame_reader.h
+++ b/src/thrift/frame_reader.h
@@ -9,8 +9,8 @@
 
 class FrameReader {
  public:
-  // kMore: more bytes are needed. kFrame: frame() is complete. kBroken: the frame is empty or too large.
-  enum class Result { kMore, kFrame, kBroken };
+  // kNeedMore: more bytes are needed. kFrame: frame() is complete. kBroken: the frame is empty or too large.
+  enum class Result { kNeedMore, kFrame, kBroken };
 
   // `max_bytes`: the largest frame that is accepted, without its length field.
   explicit FrameReader(std::size_t max_bytes) : max_bytes_(max_bytes) {}
@@ -20,9 +20,9 @@
 
   const std::string& frame() const { return body_; }  // after kFrame, until the next feed
   // Bytes of memory that an incomplete frame takes, including the spare capacity of its string.
-  std::size_t gathered() const { return inside() ? body_.capacity() : 0; }
+  std::size_t buffered_bytes() const { return in_frame() ? body_.capacity() : 0; }
   // A frame has begun and is not complete.
-  bool inside() const { return length_bytes_ > 0 && !complete_; }
+  bool in_frame() const { return length_bytes_ > 0 && !complete_; }
 
  private:
   std::size_t max_bytes_;
--- a/src/thrift/front.cpp
+++ b/src/thrift/front.cpp
@@ -44,7 +44,7 @@
 std::optional<double> number_or_zero(const TextMap& fields, std::string_view key) {
   const std::string text = value_in(fields, key);
   if (text.empty()) return 0.0;
-  const auto value = core::parse_finite(text);
+  const auto value = core::parse_finite_double(text);
   if (!value || *value < 0 || *value > kMaxEstimate) return std::nullopt;
   return value;
 }
@@ -57,11 +57,11 @@
   request.reference = value_in(fields, "ref");
   request.tenant = value_in(fields, "project");
   request.idempotency_key = value_in(fields, "replay");
-  request.repeat = value_in(fields, "dup") == "1";
+  request.is_retry = value_in(fields, "dup") == "1";
   if (!is_reference(request.reference)) return reject("ref: 16 hex digits are needed");
   if (request.class_name.empty() || !is_header_value(request.class_name)) return reject("service: missing");
   if (!is_header_value(request.idempotency_key)) return reject("replay: a plain text is needed");
-  const auto allow = core::parse_finite(value_in(fields, "allow"));
+  const auto allow = core::parse_finite_double(value_in(fields, "allow"));
   if (!allow || *allow <= 0 || *allow > kMaxTimeBudgetMs)
     return reject("allow: milliseconds above 0 are needed");
   const auto effort = number_or_zero(fields, "effort");
@@ -113,7 +113,7 @@
     if (type == FieldType::kStop) return;
     const std::uint16_t id = reader.u16();
     if (id == kAbortId && type == FieldType::kI32) {
-      call.aborted = static_cast<std::int32_t>(reader.u32());
+      call.aborted_sequence = static_cast<std::int32_t>(reader.u32());
     } else {
       reader.skip(type);
     }
--- a/src/thrift/front.h
+++ b/src/thrift/front.h
@@ -19,7 +19,7 @@
   bool wants_answer = true;                    // false for a oneway message
   std::optional<core::ClientRequest> request;  // for kInvoke, if it is valid
   std::string why;                             // for kInvoke, if it is invalid: what is wrong with it
-  std::int32_t aborted = 0;                    // for kAbort: sequence number of the request to abort
+  std::int32_t aborted_sequence = 0;           // for kAbort: sequence number of the request to abort
 };
 
 // Decodes a frame without its length. Returns nullopt if it is malformed: the connection can't be used
--- a/tests/budget/fleet_world.h
+++ b/tests/budget/fleet_world.h
@@ -23,7 +23,7 @@
     keepers_.assign(keepers, KeeperNode(terms_));
     for (std::size_t member = 0; member < members; ++member) start(member);
     elect(0, false);
-    pass(Terms::surely_over_after(terms_.term, terms_.drift_ppm));  // a new log waits for earlier leases
+    pass(Terms::safe_expiry_delay(terms_.term, terms_.drift_ppm));  // a new log waits for earlier leases
   }
 
   std::size_t members() const { return nodes_.size(); }
@@ -41,11 +41,11 @@
     if (commit_pending && pending) {
       committed_log_.push_back(*pending);
       pending.reset();
-      ++keepers_[leader_].finished;
+      ++keepers_[leader_].finished_proposals;
     }
     if (keeper == leader_) keepers_[keeper] = KeeperNode(terms_);
     keepers_[keeper].clock_rate = clock_rate;
-    if (keepers_[keeper].pending) keepers_[keeper].pending.reset(), ++keepers_[keeper].finished;
+    if (keepers_[keeper].pending) keepers_[keeper].pending.reset(), ++keepers_[keeper].finished_proposals;
     leader_ = keeper;
     catch_up(keeper);
     keepers_[keeper].leads = true;
@@ -65,7 +65,7 @@
       if (keeper == leader_) continue;
       any_deposed = any_deposed || keepers_[keeper].leads;
       keepers_[keeper].leads = false;
-      if (keepers_[keeper].pending) keepers_[keeper].pending.reset(), ++keepers_[keeper].finished;
+      if (keepers_[keeper].pending) keepers_[keeper].pending.reset(), ++keepers_[keeper].finished_proposals;
       catch_up(keeper);
       run_keeper(keeper);
     }
@@ -84,7 +84,7 @@
     if (!leader.pending) return false;
     committed_log_.push_back(*leader.pending);
     leader.pending.reset();
-    ++leader.finished;
+    ++leader.finished_proposals;
     catch_up(leader_);
     run_keeper(leader_);
     return true;
@@ -140,12 +140,12 @@
     if (index < requests_.size()) {
       const PendingRequest request = requests_[index];
       if (!keep_copy) requests_.erase(requests_.begin() + static_cast<long>(index));
-      keepers_[request.keeper].role.asked(Log(*this, request.keeper), request.member, request.ask);
+      keepers_[request.keeper].role.on_request(Log(*this, request.keeper), request.member, request.ask);
       return;
     }
     index -= requests_.size();
     if (index >= grants_.size()) return;
-    const fleet::GrantTold reply = grants_[index];
+    const fleet::GrantReply reply = grants_[index];
     if (!keep_copy) grants_.erase(grants_.begin() + static_cast<long>(index));
     for (std::size_t member = 0; member < nodes_.size(); ++member)
       if (is_running(member)) nodes_[member].holder->answered(local_time(member), reply.grant, reply.terms);
@@ -161,7 +161,7 @@
 
   // Returns an error text if the parts that are in use, or may be used from now on, exceed the total; else
   // empty. Controllers that are not running count with their cut-off part.
-  std::string overdrawn() {
+  std::string violation() {
     stop_expired_use();
     for (std::size_t allowance = 0; allowance < terms_.allowances.size(); ++allowance) {
       Parts sum = 0;
@@ -178,7 +178,7 @@
   }
 
   // Whether all parts except the reserve are leased.
-  bool all_in_use() {
+  bool fully_leased() {
     for (std::size_t allowance = 0; allowance < terms_.allowances.size(); ++allowance) {
       Parts sum = 0;
       for (std::size_t member = 0; member < nodes_.size(); ++member)
@@ -190,7 +190,7 @@
     return true;
   }
 
-  const Holder& holder(std::size_t member) const { return *nodes_[member].holder; }
+  const LeaseHolder& holder(std::size_t member) const { return *nodes_[member].holder; }
   TimeUs local_time(std::size_t member) const {
     return nodes_[member].started_at +
            static_cast<TimeUs>(static_cast<double>(now_ - nodes_[member].started_at) *
@@ -205,10 +205,10 @@
     bool leads = false;  // from its own point of view
     std::uint64_t term = 0;
     std::optional<fleet::Entry> pending;
-    std::uint64_t finished = 0;
+    std::uint64_t finished_proposals = 0;
     double clock_rate = 1;
   };
-  class Log final : public fleet::AgreedLog {  // the log as seen by one keeper
+  class Log final : public fleet::ReplicatedLog {  // the log as seen by one keeper
    public:
     Log(FleetWorld& world, std::size_t keeper) : world_(world), node_(world.keepers_[keeper]) {}
     bool leads() const override { return node_.leads; }
@@ -219,7 +219,7 @@
       node_.pending = entry;
       return true;
     }
-    std::uint64_t finished() const override { return node_.finished; }
+    std::uint64_t finished_proposals() const override { return node_.finished_proposals; }
 
    private:
     FleetWorld& world_;
@@ -228,10 +228,10 @@
   struct PendingRequest {
     std::size_t keeper = 0;
     std::size_t member = 0;
-    Ask ask;
+    LeaseRequest ask;
   };
   struct MemberNode {
-    std::optional<Holder> holder;
+    std::optional<LeaseHolder> holder;
     double clock_rate = 1;
     TimeUs started_at = 0;
     std::vector<Parts> in_use;
@@ -247,7 +247,7 @@
     keepers_[keeper].role.run(static_cast<TimeUs>(static_cast<double>(now_) * keepers_[keeper].clock_rate),
                               log);
     for (const auto& reply : keepers_[keeper].role.take_replies())
-      if (const auto* granted = std::get_if<fleet::GrantTold>(&reply.answer)) grants_.push_back(*granted);
+      if (const auto* granted = std::get_if<fleet::GrantReply>(&reply.answer)) grants_.push_back(*granted);
   }
 
   // When a lease expires, use beyond the cut-off part stops; work that outlives the lease is bounded
@@ -276,7 +276,7 @@
   std::vector<fleet::Entry> committed_log_;
   std::vector<MemberNode> nodes_;
   std::vector<PendingRequest> requests_;
-  std::vector<fleet::GrantTold> grants_;
+  std::vector<fleet::GrantReply> grants_;
 };
 
 inline Terms small_terms(int largest = 4) {
--- a/tests/budget/mutants.sh
+++ b/tests/budget/mutants.sh
@@ -16,7 +16,7 @@
   "budget/ledger.cpp|ask.seq <= it->second.seq|false|asks that come twice or late count"
   "budget/ledger.cpp|m.unacked[a] = std::max(m.unacked[a], part);|m.unacked[a] = part;|a lease whose answer is on its way is forgotten"
   "budget/terms.h|return term + 2 * (term * drift_ppm / 1'000'000) + 1;|return term - term / 2;|a lease is over before its term and the drift are"
-  "budget/arbiter.cpp|now + Terms::surely_over_after(member.term, ledger.terms().drift_ppm)|now|a new leader takes old leases for over"
+  "budget/arbiter.cpp|now + Terms::safe_expiry_delay(member.term, ledger.terms().drift_ppm)|now|a new leader takes old leases for over"
   "budget/holder.cpp|ends_at_ = *asked + grant.term;|ends_at_ = now + grant.term;|the holder counts its term from the answer"
   "budget/holder.cpp|grant.number <= number_|false|an older answer replaces a newer lease"
   "budget/holder.cpp|return leased(now) ? cut_off + parts_[a] : cut_off;|return cut_off + parts_[a];|the holder goes on past its term"
@@ -29,12 +29,12 @@
   "budget/terms.h|allowances[a].whole - largest * allowances[a].cut_off|allowances[a].whole|cut-off parts are not set aside"
   "promises/key_table.cpp|it->second.query != want.query|false|two queries of one controller have a key"
   "promises/key_table.cpp|it->second.query == free.query|true|a late word frees another query's key"
-  "promises/key_table.cpp|rest.number = ++last_number_;|if (rest.number == 0) rest.number = ++last_number_;|the end of an older rest ends a newer one"
+  "promises/key_table.cpp|key_hold.number = ++last_number_;|if (key_hold.number == 0) key_hold.number = ++last_number_;|the end of an older rest ends a newer one"
   "promises/key_table.cpp|if (!settled_|if (false|a new log takes no key for resting"
-  "promises/key_holder.cpp|now - flight.sent_at > patience()|false|a promise is acted on however late it comes"
+  "promises/key_holder.cpp|now - flight.sent_at > answer_timeout()|false|a promise is acted on however late it comes"
   "promises/key_holder.cpp|if (it->first.first != want.identity|if (true|what was given up is not said to be free with a want of its key"
-  "promises/key_watch.cpp|surely_over_after(rest + terms.term,|surely_over_after(rest,|the time between promise and send is left out"
-  "promises/key_watch.cpp|settles_at_ = led_at_ + over_after(terms.longest_rest, terms);|settles_at_ = led_at_;|a lost log is not waited out"
+  "promises/key_watch.cpp|safe_expiry_delay(key_hold + terms.term,|safe_expiry_delay(key_hold,|the time between promise and send is left out"
+  "promises/key_watch.cpp|settles_at_ = led_at_ + hold_expiry_delay(terms.longest_key_hold, terms);|settles_at_ = led_at_;|a lost log is not waited out"
 )
 
 compile() {  # sources below $1, one file, into what
--- a/tests/budget/sum_test.cpp
+++ b/tests/budget/sum_test.cpp
@@ -63,8 +63,8 @@
     FleetWorld world(small_terms(), 2 + seed % 3, 1 + seed % 4);
     for (int n = 0; n < 400; ++n) {
       step(world, random);
-      const std::string overdrawn = world.overdrawn();
-      ASSERT_EQ(overdrawn, "") << "seed " << seed << " step " << n;
+      const std::string violation = world.violation();
+      ASSERT_EQ(violation, "") << "seed " << seed << " step " << n;
     }
     for (std::size_t i = 0; i < world.members(); ++i)
       leased += world.is_running(i) && world.holder(i).number() > 0;
@@ -87,15 +87,15 @@
       }
       while (world.messages() > 0) world.deliver(0), world.propose_and_commit();
       world.pass(300 * kMs);
-      ASSERT_EQ(world.overdrawn(), "") << "seed " << seed;
+      ASSERT_EQ(world.violation(), "") << "seed " << seed;
     }
     bool any = false;
     for (std::size_t i = 0; i < world.members(); ++i) any = any || world.is_running(i);
-    EXPECT_TRUE(!any || world.all_in_use()) << "seed " << seed;
+    EXPECT_TRUE(!any || world.fully_leased()) << "seed " << seed;
   }
 }
 
-Ask ask_of(std::uint64_t seq, std::uint64_t acked, Parts demand) {
+LeaseRequest ask_of(std::uint64_t seq, std::uint64_t acked, Parts demand) {
   return {{"c0", 1}, seq, 1, acked, false, {demand, demand}, {0, 0}};
 }
 
@@ -124,12 +124,12 @@
 TEST(Sum, AStartWithItsClockSetBackWaitsUntilTheEarlierLeaseIsOver) {
   Ledger ledger;
   const auto ask = [](std::uint64_t incarnation, std::uint64_t seq) {
-    Ask out = ask_of(seq, 0, 10);
+    LeaseRequest out = ask_of(seq, 0, 10);
     out.from.incarnation = incarnation;
     return out;
   };
   ledger.apply({{small_terms()}, {}, {ask(50, 1)}});
-  EXPECT_EQ(ledger.apply({{}, {}, {ask(40, 1)}}).at(0).kind, Grant::Kind::kNoRoom);
+  EXPECT_EQ(ledger.apply({{}, {}, {ask(40, 1)}}).at(0).kind, Grant::Kind::kNotAdmitted);
   ledger.apply({{}, {{{"c0", 50}, 1}}, {}});
   EXPECT_EQ(ledger.apply({{}, {}, {ask(40, 2)}}).at(0).kind, Grant::Kind::kLease);
   EXPECT_EQ(ledger.apply({{}, {}, {ask(60, 1)}}).at(0).kind, Grant::Kind::kLease);  // another start
@@ -152,9 +152,10 @@
   Ledger ledger;
   ledger.apply({{small_terms(2)}, {}, {}});
   for (int i = 0; i < 3; ++i) {
-    Ask ask = ask_of(1, 0, 10);
+    LeaseRequest ask = ask_of(1, 0, 10);
     ask.from.name = "c" + std::to_string(i);
-    EXPECT_EQ(ledger.apply({{}, {}, {ask}}).at(0).kind, i < 2 ? Grant::Kind::kLease : Grant::Kind::kNoRoom);
+    EXPECT_EQ(ledger.apply({{}, {}, {ask}}).at(0).kind,
+              i < 2 ? Grant::Kind::kLease : Grant::Kind::kNotAdmitted);
   }
 }
 
@@ -165,14 +166,14 @@
     for (std::size_t i = 0; i < 2; ++i) world.ask(i);
     while (world.messages() > 0) world.deliver(0), world.propose_and_commit();
   }
-  ASSERT_TRUE(world.all_in_use());
+  ASSERT_TRUE(world.fully_leased());
   world.start(2);
   world.ask(2);
   while (world.messages() > 0) world.deliver(0), world.propose_and_commit();
   // It gets no more than that, so that some of the reserve is left for the next one: `make run-fleet` showed
   // a third controller without any parts for 7 s.
   EXPECT_EQ(world.holder(2).part(0), small_terms().allowances[0].least);
-  EXPECT_EQ(world.overdrawn(), "");
+  EXPECT_EQ(world.violation(), "");
 }
 
 // Members and keepers get a new file in any order.
@@ -182,7 +183,7 @@
   newer.allowances.push_back({"rate/new", 100, 1, 1, 1});
   Ledger ledger;
   ledger.apply({{small_terms()}, {}, {}});
-  Holder holder({"c0", 1}, newer);
+  LeaseHolder holder({"c0", 1}, newer);
   for (int n = 0; n < 2; ++n) {
     const Entry entry{{}, {}, {holder.ask(n, {}, {})}};
     for (const Grant& grant : ledger.apply(entry)) holder.answered(n, grant, {ledger.terms()});
@@ -229,7 +230,7 @@
       if (!act(world, action)) continue;  // it changed nothing: the schedules without it cover the rest
       ++schedule_count;
       done.push_back(action);
-      fault = world.overdrawn();
+      fault = world.violation();
       if (!fault.empty())
         for (const int done_action : done) fault += " " + std::to_string(done_action);
       run(world, left - 1);
--- a/tests/faults/fault_library.cpp
+++ b/tests/faults/fault_library.cpp
@@ -89,7 +89,7 @@
   const auto index = static_cast<std::size_t>(fault);
   const std::uint32_t rate = page()->per_million[index].load();
   if (rate == 0 || next_random() % kRateScale >= rate) return false;
-  page()->made[index].fetch_add(1);
+  page()->injected[index].fetch_add(1);
   return true;
 }
 
--- a/tests/faults/fault_page.h
+++ b/tests/faults/fault_page.h
@@ -26,14 +26,14 @@
   kOpenFails,              // open(2) of a file
   kLockFails,              // flock(2): another process holds the lock, or the system has no locks left
 };
-inline constexpr std::size_t kCallFaults = 14;
+inline constexpr std::size_t kCallFaultCount = 14;
 
 // Lives in a file that both processes map.
 struct FaultPage {
   std::atomic<std::int64_t> wall_offset_us{0};  // added to the wall clock; no other clock changes
   std::atomic<std::uint64_t> seed{1};
-  std::array<std::atomic<std::uint32_t>, kCallFaults> per_million{};  // rate of each fault
-  std::array<std::atomic<std::uint64_t>, kCallFaults> made{};         // faults injected so far
+  std::array<std::atomic<std::uint32_t>, kCallFaultCount> per_million{};  // rate of each fault
+  std::array<std::atomic<std::uint64_t>, kCallFaultCount> injected{};     // faults injected so far
 };
 
 // Environment variables that the library reads when it first needs them.
--- a/tests/faults/fault_switch.cpp
+++ b/tests/faults/fault_switch.cpp
@@ -15,7 +15,7 @@
   return {{"LD_PRELOAD", ORCHIDGW_FAULT_LIBRARY}, {"ASAN_OPTIONS", "verify_asan_link_order=0"}};
 }
 
-FaultSwitch::FaultSwitch() {
+FaultInjector::FaultInjector() {
   std::string file_name = (std::filesystem::temp_directory_path() / "orchidgw-faults-XXXXXX").string();
   const int fd = ::mkstemp(file_name.data());
   path_ = file_name;
@@ -27,18 +27,18 @@
   page_ = new (address) FaultPage;
 }
 
-FaultSwitch::~FaultSwitch() {
+FaultInjector::~FaultInjector() {
   ::munmap(page_, sizeof(FaultPage));
   std::filesystem::remove(path_);
 }
 
-std::map<std::string, std::string> FaultSwitch::environment() const {
+std::map<std::string, std::string> FaultInjector::environment() const {
   auto variables = preload_environment();
   variables[kPageVariable] = path_.string();
   return variables;
 }
 
-void FaultSwitch::clear_rates() {
+void FaultInjector::clear_rates() {
   for (auto& rate : page_->per_million) rate = 0;
 }
 
--- a/tests/faults/fault_switch.h
+++ b/tests/faults/fault_switch.h
@@ -13,13 +13,13 @@
 std::map<std::string, std::string> preload_environment();
 
 // Owns the file of the FaultPage that it shares with the process, and removes it at the end.
-class FaultSwitch {
+class FaultInjector {
  public:
   // No fault is set. Throws std::runtime_error if the shared file cannot be created or mapped.
-  FaultSwitch();
-  ~FaultSwitch();
-  FaultSwitch(const FaultSwitch&) = delete;
-  FaultSwitch& operator=(const FaultSwitch&) = delete;
+  FaultInjector();
+  ~FaultInjector();
+  FaultInjector(const FaultInjector&) = delete;
+  FaultInjector& operator=(const FaultInjector&) = delete;
 
   // To be added to the environment of the process under test.
   std::map<std::string, std::string> environment() const;
@@ -34,7 +34,7 @@
   }
   void clear_rates();  // no call fails from now on; the wall clock keeps its offset
   // How often this fault was injected so far.
-  std::uint64_t made(CallFault fault) const { return page_->made[static_cast<std::size_t>(fault)]; }
+  std::uint64_t injected(CallFault fault) const { return page_->injected[static_cast<std::size_t>(fault)]; }
 
  private:
   std::filesystem::path path_;
--- a/tests/fleet/fleet_harness.cpp
+++ b/tests/fleet/fleet_harness.cpp
@@ -132,8 +132,8 @@
 std::vector<std::string> FleetHarness::members() const {
   std::vector<std::string> out;
   for (std::size_t e = 0; e < engines_.size(); ++e)
-    out.push_back(member("s-" + std::to_string(e), engines_[e]->address(),
-                         engines_listed_ ? "in_service" : "terminated", engines_started_ms_));
+    out.push_back(member_json("s-" + std::to_string(e), engines_[e]->address(),
+                              engines_listed_ ? "in_service" : "terminated", engines_started_ms_));
   return out;
 }
 
@@ -144,7 +144,7 @@
                             .count();
   std::string all;
   for (const std::string& one : members()) all += (all.empty() ? "" : ",") + one;
-  change_log_.tell(all);
+  change_log_.publish(all);
 }
 
 void FleetHarness::start(int i) {
@@ -155,15 +155,15 @@
   options.tenants = shape_.tenants;
   if (shape_.key_hold_ms > 0) options.once_deadline_us = shape_.key_hold_ms * 1'000L;
   options.limits = limits_file();
-  options.words = {"--admin", directory_ + "/" + options.name + ".sock"};
+  options.arguments = {"--admin", directory_ + "/" + options.name + ".sock"};
   if (shape_.store_intents) {
     const std::string folder = directory_ + "/intents-" + std::to_string(i);
     std::filesystem::create_directories(folder);
-    options.words.insert(options.words.end(), {"--intents", folder});
+    options.arguments.insert(options.arguments.end(), {"--intents", folder});
   }
   if (shape_.use_fleet) {
-    options.words.push_back("--fleet");
-    options.words.push_back(write_file(options.name + ".fleet.yaml", fleet_file(i)));
+    options.arguments.push_back("--fleet");
+    options.arguments.push_back(write_file(options.name + ".fleet.yaml", fleet_file(i)));
   }
   options.on_output = [this] {
     const std::lock_guard lock(mutex_);
@@ -208,16 +208,16 @@
   for (const int i : all) end_process(i, SIGKILL);
 }
 
-std::pair<int, std::string> FleetHarness::recover(int i, const std::vector<std::string>& words) {
+std::pair<int, std::string> FleetHarness::recover(int i, const std::vector<std::string>& arguments) {
   if (fleet_number_ == 7) ++fleet_number_;
   keepers_ = {i};
   const std::string name = "c" + std::to_string(i);
   std::vector<std::string> line = {"fleet", "recover", "--fleet",
                                    write_file(name + ".fleet.yaml", fleet_file(i))};
-  line.insert(line.end(), words.begin(), words.end());
+  line.insert(line.end(), arguments.begin(), arguments.end());
   ControllerOptions options;
   options.name = name;
-  const std::string config = write_file(name + ".json", config_of(options));
+  const std::string config = write_file(name + ".json", make_config_json(options));
   ControllerProcess command({{"BALANCER_CONFIG", config}, {"BALANCER_NAME", name}}, line);
   const int code = command.wait_exit();
   return {code, command.log()};
--- a/tests/fleet/fleet_harness.h
+++ b/tests/fleet/fleet_harness.h
@@ -52,7 +52,7 @@
   void kill_all();   // SIGKILL to all, then waits for each
   // Runs `fleet recover` for a stopped keeper, which from then on is the only keeper. Returns the command's
   // exit code and output.
-  std::pair<int, std::string> recover(int i, const std::vector<std::string>& words);
+  std::pair<int, std::string> recover(int i, const std::vector<std::string>& arguments);
   void lose_store(int i);          // empties the store's folder; the keeper must not be running
   void copy_store(int i);          // the keeper must not be running
   void restore_store(int i);       // replaces the store by its copy; the keeper must not be running
--- a/tests/fleet/fleet_sizes.cpp
+++ b/tests/fleet/fleet_sizes.cpp
@@ -78,12 +78,12 @@
   std::map<int, std::map<std::string, long>> before;
   std::map<int, double> cpu_before;
   for (const int i : all_but(controllers))
-    before[i] = fleet.at(i).counters(), cpu_before[i] = cpu_of(fleet.at(i).pid());
+    before[i] = fleet.at(i).counters(), cpu_before[i] = cpu_seconds(fleet.at(i).pid());
   const std::int64_t from = boot_time_us();
   std::this_thread::sleep_for(std::chrono::seconds(10));
   const double passed = seconds_since(from);
   for (const int i : all_but(controllers)) {
-    cpu.values.push_back((cpu_of(fleet.at(i).pid()) - cpu_before[i]) / passed * 1e3);
+    cpu.values.push_back((cpu_seconds(fleet.at(i).pid()) - cpu_before[i]) / passed * 1e3);
     const auto now = fleet.at(i).counters();
     sent.values.push_back(static_cast<double>(now.at("fleet.sent") - before[i].at("fleet.sent")) / passed);
     bytes.values.push_back(static_cast<double>(now.at("bytes.fleet_out") - before[i].at("bytes.fleet_out")) /
--- a/tests/fleet/keys_test.cpp
+++ b/tests/fleet/keys_test.cpp
@@ -51,8 +51,8 @@
   }
   void start() {
     ControllerOptions options;
-    options.members = {member("s-0", engine.address())};
-    options.words = {"--intents", folder};
+    options.members = {member_json("s-0", engine.address())};
+    options.arguments = {"--intents", folder};
     controller = std::make_unique<ControllerProcess>(options);
   }
   void kill() {
@@ -145,7 +145,7 @@
   ControllerProcess bad({{"BALANCER_CONFIG", controller->config_path()}, {"BALANCER_LISTEN", free_address()}},
                         {"--intents", folder + "/nowhere"});
   EXPECT_EQ(bad.wait_exit(), 1);
-  bad.join_reader();
+  bad.join_log_reader();
   EXPECT_NE(bad.log().find("orchidgw: " + folder + "/nowhere: No such file or directory"), std::string::npos)
       << bad.log();
 }
--- a/tests/fleet/parts_test.cpp
+++ b/tests/fleet/parts_test.cpp
@@ -17,10 +17,10 @@
   ClassSettings c;
   c.name = "lookup";
   c.deadline = 4 * kSecond;
-  c.aim = kSecond;
+  c.latency_target = kSecond;
   s.classes = {c};
   s.tenants = {{"a", 0.5, 10}, {"b", 0.5, 10}};
-  s.rules.fall_multiple = 2;
+  s.rules.overload_multiple = 2;
   s.limits.retry_after = true;
   s.limits.max_retry_after = kSecond;
   return s;
@@ -35,20 +35,20 @@
   return c;
 }
 
-std::shared_ptr<const limits::LimitSet> fleet_limits(const Settings& settings, double rate, int places) {
+std::shared_ptr<const limits::LimitSet> fleet_limits(const Settings& settings, double rate, int concurrency) {
   limits::LimitFile file;
   limits::Route route;
   route.name = "r";
   route.match.class_name = {"lookup", {}};
   route.bounds.rate = {limits::Rate{rate, 8, true}, {}};
-  route.bounds.concurrency = {limits::Concurrency{places, 0, true}, {}};
+  route.bounds.concurrency = {limits::Concurrency{concurrency, 0, true}, {}};
   file.routes = {route};
   return std::make_shared<const limits::LimitSet>(settings, file, 1);
 }
 
-budget::Holder holder_with(const budget::Terms& terms, std::vector<budget::Parts> parts) {
-  budget::Holder holder({"c0", 1}, terms);
-  const budget::Ask ask = holder.ask(0, {}, {});
+budget::LeaseHolder holder_with(const budget::Terms& terms, std::vector<budget::Parts> parts) {
+  budget::LeaseHolder holder({"c0", 1}, terms);
+  const budget::LeaseRequest ask = holder.ask(0, {}, {});
   budget::Grant grant;
   grant.to = ask.from;
   grant.seq = ask.seq;
@@ -80,7 +80,7 @@
 TEST(Allowances, ALeasesPartsAreWorthTheirShareUntilItEnds) {
   const Settings s = two_tenants();
   const auto limits = fleet_limits(s, 5, 40);
-  const budget::Holder holder =
+  const budget::LeaseHolder holder =
       holder_with(terms_of(config_for_four(), s, limits.get()), {200'000, 100'000, 0, 1'000, 10});
   const Shares shares = shares_of(holder, s, kSecond);
   EXPECT_DOUBLE_EQ(shares.module.budgets[0], 0.25);
@@ -91,11 +91,11 @@
   EXPECT_EQ(shares.module.live, 3);
   EXPECT_EQ(shares.module.place, 2);
   EXPECT_DOUBLE_EQ(shares.limits.rates.at("r"), 1.25);
-  EXPECT_EQ(shares.limits.places.at("r"), 12);
+  EXPECT_EQ(shares.limits.concurrency.at("r"), 12);
   const Shares expired = shares_of(holder, s, 3 * kSecond);
   EXPECT_DOUBLE_EQ(expired.module.budgets[0], 0.05);
   EXPECT_EQ(expired.module.live, 0);
-  EXPECT_EQ(expired.limits.places.at("r"), 2);
+  EXPECT_EQ(expired.limits.concurrency.at("r"), 2);
 }
 
 // A used share of a CPU budget is given back once its window is over, the part of a running query once it
@@ -103,21 +103,23 @@
 TEST(Allowances, PartsThatAreSpentOrRunningAreNotGivenBackAtOnce) {
   const Settings s = two_tenants();
   const auto limits = fleet_limits(s, 5, 40);
-  const budget::Holder holder =
+  const budget::LeaseHolder holder =
       holder_with(terms_of(config_for_four(), s, limits.get()), {200'000, 100'000, 0, 1'000, 10});
   Demand demand(s);
-  EXPECT_EQ(demand.in_use(kSecond, holder, {{"r", {9, 3, 0}}}),
+  EXPECT_EQ(demand.parts_in_use(kSecond, holder, {{"r", {9, 3, 0}}}),
             (std::vector<budget::Parts>{200'000, 100'000, 0, 0, 7}));
-  EXPECT_EQ(demand.in_use(4 * kSecond, holder, {})[0], 200'000);  // the lease has expired, the window has not
-  EXPECT_EQ(demand.in_use(10 * kSecond, holder, {})[0], 0);
+  EXPECT_EQ(demand.parts_in_use(4 * kSecond, holder, {})[0],
+            200'000);  // the lease has expired, the window has not
+  EXPECT_EQ(demand.parts_in_use(10 * kSecond, holder, {})[0], 0);
 }
 
 TEST(Allowances, DemandFollowsATenantsOwnWork) {
   const Settings s = two_tenants();
   Demand demand(s);
-  demand.engines(10);
+  demand.set_engine_cores(10);
   const budget::Terms terms = terms_of(config_for_four(), s, nullptr);
-  for (int i = 0; i < 50; ++i) demand.taken(i * 100'000, "a", 100'000);  // keeps one of ten cores busy
+  for (int i = 0; i < 50; ++i)
+    demand.query_accepted(i * 100'000, "a", 100'000);  // keeps one of ten cores busy
   const auto parts = demand.parts(5 * kSecond - 1, terms, {});
   // A fifth of the tenant's whole, which is half of the cores.
   EXPECT_NEAR(static_cast<double>(parts[0]), 200'000 - 50'000, 5'000);
@@ -130,17 +132,17 @@
 TEST(FleetLimits, ARouteHasNothingBeforeALeaseAndItsPartAfter) {
   const Settings s = two_tenants();
   limits::Limiter limiter(s, 1);
-  limiter.put_in_force(0, fleet_limits(s, 5, 40));
+  limiter.activate(0, fleet_limits(s, 5, 40));
   const auto admit = [&](QueryId id) {
     return limiter.admit(kSecond, {id, 0, "a", "t", false, 4 * kSecond}).kind;
   };
   EXPECT_EQ(admit(1), limits::Verdict::Kind::kRefuse);
-  limiter.set_fleet(kSecond, {{{"r", 2.5}}, {{"r", 2}}});
-  EXPECT_EQ(limiter.fleet_use(kSecond).at("r").under_way, 0);
-  EXPECT_GT(limiter.fleet_use(kSecond).at("r").rate, 0);
-  limiter.set_fleet(kSecond, {{{"r", 1000}}, {{"r", 2}}});
+  limiter.set_fleet_limits(kSecond, {{{"r", 2.5}}, {{"r", 2}}});
+  EXPECT_EQ(limiter.fleet_usage(kSecond).at("r").under_way, 0);
+  EXPECT_GT(limiter.fleet_usage(kSecond).at("r").rate, 0);
+  limiter.set_fleet_limits(kSecond, {{{"r", 1000}}, {{"r", 2}}});
   int admitted = 0;
-  for (QueryId id = 2; id <= 6; ++id) admitted += admit(id) == limits::Verdict::Kind::kLetIn ? 1 : 0;
+  for (QueryId id = 2; id <= 6; ++id) admitted += admit(id) == limits::Verdict::Kind::kAdmit ? 1 : 0;
   EXPECT_LE(admitted, 2);
 }
 
@@ -153,12 +155,13 @@
     bucket.take(0);
   }
   EXPECT_FALSE(bucket.ready(0));
-  bucket.change_level(0, limits::Rate{20, 8, true});
+  bucket.change_keeping_tokens(0, limits::Rate{20, 8, true});
   EXPECT_FALSE(bucket.ready(0));
   int taken = 0;
   while (bucket.ready(kSecond / 10)) bucket.take(kSecond / 10), ++taken;
-  EXPECT_EQ(taken, 2);                                          // 20 per second, for a tenth of a second
-  bucket.change_level(10 * kSecond, limits::Rate{5, 2, true});  // a smaller bucket drops what exceeds it
+  EXPECT_EQ(taken, 2);  // 20 per second, for a tenth of a second
+  bucket.change_keeping_tokens(10 * kSecond,
+                               limits::Rate{5, 2, true});  // a smaller bucket drops what exceeds it
   taken = 0;
   while (bucket.ready(10 * kSecond)) bucket.take(10 * kSecond), ++taken;
   EXPECT_EQ(taken, 2);
@@ -169,22 +172,22 @@
 TEST(Member, GoesOnToTheNextKeeperAndPausesWhereNoneIsKnownToLead) {
   MemberRole role({"c0", 1}, terms_of(config_for_four(), two_tenants(), nullptr), {1, 2, 3}, 9);
   ASSERT_TRUE(role.due(0));
-  const KeeperId first = role.asks();
-  const budget::Ask ask = role.ask(0, {}, {});
-  role.told(10, Elsewhere{ask.seq, 0});
-  EXPECT_NE(role.asks(), first);
+  const KeeperId first = role.keeper_to_ask();
+  const budget::LeaseRequest ask = role.ask(0, {}, {});
+  role.on_reply(10, Redirect{ask.seq, 0});
+  EXPECT_NE(role.keeper_to_ask(), first);
   EXPECT_GT(role.next_due(), 10 + 50'000);
   const TimeUs due = role.next_due();
-  const budget::Ask second = role.ask(due, {}, {});
-  role.told(due + 5, Elsewhere{second.seq, first});
-  EXPECT_EQ(role.asks(), first);
+  const budget::LeaseRequest second = role.ask(due, {}, {});
+  role.on_reply(due + 5, Redirect{second.seq, first});
+  EXPECT_EQ(role.keeper_to_ask(), first);
   EXPECT_TRUE(role.due(due + 5));
   // Two keepers that each name the other as the leader must not cause a loop of requests.
   TimeUs now = due + 5;
   int immediate_requests = 0;
   while (role.due(now) && immediate_requests < 100) {
-    const budget::Ask repeated = role.ask(now, {}, {});
-    role.told(now, Elsewhere{repeated.seq, role.asks() == first ? first % 3 + 1 : first});
+    const budget::LeaseRequest repeated = role.ask(now, {}, {});
+    role.on_reply(now, Redirect{repeated.seq, role.keeper_to_ask() == first ? first % 3 + 1 : first});
     ++immediate_requests;
   }
   EXPECT_LT(immediate_requests, 5);
@@ -193,10 +196,10 @@
 TEST(Member, AnAskWithoutAnAnswerGoesToAnotherKeeper) {
   MemberRole role({"c0", 1}, terms_of(config_for_four(), two_tenants(), nullptr), {1, 2, 3}, 9);
   role.ask(0, {}, {});
-  const KeeperId first = role.asks();
+  const KeeperId first = role.keeper_to_ask();
   EXPECT_LE(role.next_due(), 3 * kSecond / 6 * 11 / 10 + 1);
   role.ask(role.next_due(), {}, {});
-  EXPECT_NE(role.asks(), first);
+  EXPECT_NE(role.keeper_to_ask(), first);
 }
 
 // --- The fleet's configuration file ---
--- a/tests/fleet/scenarios_test.cpp
+++ b/tests/fleet/scenarios_test.cpp
@@ -79,7 +79,7 @@
       {{1, "other", 7, {"lost", 1}, 0, {}, {}}, "name=lost why=\"is of fleet other 7\""}};
   for (const auto& [hello, line] : strangers) {
     Poco::Net::StreamSocket socket{Poco::Net::SocketAddress(fleet.keeper_address(0))};
-    const std::string bytes = thrift::write_fleet(hello);
+    const std::string bytes = thrift::encode_fleet_message(hello);
     socket.sendBytes(bytes.data(), static_cast<int>(bytes.size()));
     EXPECT_TRUE(fleet.wait_line(0, line));
     char buffer[4096];
--- a/tests/integration/change_log_stand_in.cpp
+++ b/tests/integration/change_log_stand_in.cpp
@@ -22,7 +22,7 @@
   server_.stop();
 }
 
-void ChangeLogStandIn::tell(const std::string& members) {
+void ChangeLogStandIn::publish(const std::string& members) {
   const std::lock_guard lock(mutex_);
   const std::size_t number = events_.size() + 2;
   events_.push_back("{\"seq\":" + std::to_string(number) +
@@ -43,7 +43,7 @@
   changed_.wait_for(lock, timeout, [&] { return closing_ || down_ || events_.size() + 1 > since; });
   HttpReply reply;
   if (down_) {
-    reply.way = HttpReply::Way::kReset;
+    reply.behavior = HttpReply::Behavior::kReset;
     return reply;
   }
   std::string results;
--- a/tests/integration/change_log_stand_in.h
+++ b/tests/integration/change_log_stand_in.h
@@ -18,7 +18,7 @@
   ~ChangeLogStandIn();
 
   // Appends an event with these members: the JSON of those that changed, separated by commas.
-  void tell(const std::string& members);
+  void publish(const std::string& members);
   // While it is down, each poll has its connection reset in place of an answer.
   void set_down(bool down);
   HttpStandIn& server() { return server_; }
--- a/tests/integration/cold_engine_test.cpp
+++ b/tests/integration/cold_engine_test.cpp
@@ -88,7 +88,7 @@
   ChangeLogStandIn log;
   ControllerOptions options;
   options.change_log = log.address();
-  options.members = {member("s-1", first.address()), member("s-2", second.address())};
+  options.members = {member_json("s-1", first.address()), member_json("s-2", second.address())};
   std::vector<std::unique_ptr<ControllerProcess>> controllers;
   const auto start_controller = [&] {
     const int self = static_cast<int>(controllers.size());
@@ -105,8 +105,8 @@
   started = Clock::now();
   const long started_ms =
       std::chrono::duration_cast<std::chrono::milliseconds>(started.time_since_epoch()).count();
-  const std::string starting_member = member("s-0", starting_engine.address(), "in_service", started_ms);
-  log.tell(starting_member);                   // for the controllers that run already
+  const std::string starting_member = member_json("s-0", starting_engine.address(), "in_service", started_ms);
+  log.publish(starting_member);                // for the controllers that run already
   options.members.push_back(starting_member);  // the ones that start later have it in their configuration
   while (static_cast<int>(controllers.size()) < processes) start_controller();
   for (const auto& controller : controllers) ASSERT_TRUE(controller->wait_for_counter("list.changes", 2));
--- a/tests/integration/controller_process.cpp
+++ b/tests/integration/controller_process.cpp
@@ -97,16 +97,18 @@
 
 }  // namespace
 
-std::string config_of(const ControllerOptions& options) { return config_json(options, free_address()); }
+std::string make_config_json(const ControllerOptions& options) {
+  return config_json(options, free_address());
+}
 
-std::string member(const std::string& id, const std::string& address, const std::string& phase,
-                   long up_since_ms) {
+std::string member_json(const std::string& id, const std::string& address, const std::string& phase,
+                        long up_since_ms) {
   return R"({"id":")" + id + R"(","host_port":")" + address +
          R"(","locality":"z","flavor":"std","cell":0,"phase":")" + phase + R"(","size":1,"up_since_ms":)" +
          std::to_string(up_since_ms) + "}";
 }
 
-double cpu_of(pid_t pid) {
+double cpu_seconds(pid_t pid) {
   std::ifstream stat("/proc/" + std::to_string(pid) + "/stat");
   std::string text;
   std::getline(stat, text);
@@ -136,7 +138,7 @@
     write_limits(options.limits);
     environment["ORCHIDGW_LIMITS"] = limits_path();
   }
-  start(environment, options.words);
+  start(environment, options.arguments);
   if (wait_for_line("listening on")) return;
   end();  // before the throw: the destructor of a running reader thread would abort and hide the reason
   // Also printed: in a test that has threads running, the exception ends in an abort.
@@ -145,8 +147,8 @@
 }
 
 ControllerProcess::ControllerProcess(const std::map<std::string, std::string>& environment,
-                                     const std::vector<std::string>& words) {
-  start(environment, words);
+                                     const std::vector<std::string>& arguments) {
+  start(environment, arguments);
 }
 
 ControllerProcess::~ControllerProcess() { end(); }
@@ -236,11 +238,11 @@
     const std::lock_guard lock(mutex_);
     reading = log_reading_;
   }
-  if (reading) join_reader();
+  if (reading) join_log_reader();
   return exit_code_;
 }
 
-void ControllerProcess::join_reader() {
+void ControllerProcess::join_log_reader() {
   if (reader_.joinable()) reader_.join();
 }
 
--- a/tests/integration/controller_process.h
+++ b/tests/integration/controller_process.h
@@ -24,7 +24,7 @@
   std::vector<std::string> tenants = {"acme"};
   std::string settings;  // JSON of the decision module's settings; empty: default ones for tests
   std::function<std::string(const std::string& listen)> config;  // empty: built from the fields here
-  std::vector<std::string> words;                                // on the command line
+  std::vector<std::string> arguments;                            // on the command line
   std::string name = "n0";
   long once_deadline_us = 60'000'000;  // in the default settings: of class `once`
   long connect_timeout_us = 250'000;   // in the default settings
@@ -38,13 +38,13 @@
 std::string free_address();
 
 // Text of the configuration file that BALANCER_CONFIG names, made from these options with a free address.
-std::string config_of(const ControllerOptions& options);
+std::string make_config_json(const ControllerOptions& options);
 
 // JSON of one member of the engine list.
-std::string member(const std::string& id, const std::string& address, const std::string& phase = "in_service",
-                   long up_since_ms = 0);
+std::string member_json(const std::string& id, const std::string& address,
+                        const std::string& phase = "in_service", long up_since_ms = 0);
 
-double cpu_of(pid_t pid);  // user and system time used so far, in seconds
+double cpu_seconds(pid_t pid);  // user and system time used so far, in seconds
 
 class ControllerProcess {
  public:
@@ -53,7 +53,7 @@
   explicit ControllerProcess(const ControllerOptions& options);
   // Starts the program with this environment only and writes no configuration; does not wait.
   explicit ControllerProcess(const std::map<std::string, std::string>& environment,
-                             const std::vector<std::string>& words = {});
+                             const std::vector<std::string>& arguments = {});
   ~ControllerProcess();
 
   std::string address() const { return address_; }
@@ -70,7 +70,7 @@
   // Waits until its output contains this text; false after 20 s, or if the output ends without it.
   bool wait_for_line(const std::string& part);
   std::string log() const;  // its standard output and standard error so far
-  void join_reader();       // waits for the end of the output; only once the process has ended
+  void join_log_reader();   // waits for the end of the output; only once the process has ended
   // Leaves its output unread until resume_log_reading: the pipe fills up.
   void pause_log_reading();
   void resume_log_reading();
@@ -81,7 +81,8 @@
   bool wait_for_counter(const std::string& name, long value);
 
  private:
-  void start(const std::map<std::string, std::string>& environment, const std::vector<std::string>& words);
+  void start(const std::map<std::string, std::string>& environment,
+             const std::vector<std::string>& arguments);
   void read_log(int fd);
   void end();
   std::function<void()> on_output_;
--- a/tests/integration/controller_test.cpp
+++ b/tests/integration/controller_test.cpp
@@ -18,9 +18,9 @@
 using Kind = FrontAnswer::Kind;
 
 // A reply that fails in this manner; `bytes` is all that a raw reply sends.
-HttpReply misbehave(HttpReply::Way how, std::string bytes = "") {
+HttpReply misbehave(HttpReply::Behavior how, std::string bytes = "") {
   HttpReply result;
-  result.way = how;
+  result.behavior = how;
   result.body = std::move(bytes);
   return result;
 }
@@ -54,7 +54,7 @@
 };
 
 TEST_F(Running, ServesAQueryOfSeveralPages) {
-  engine([](const HttpCall& call) {
+  add_engine([](const HttpCall& call) {
     if (call.method == "POST") return reply(202);
     if (call.path.ends_with("/0")) return served("r\t0\tx\n", 3);
     const std::string number = call.path.substr(call.path.size() - 1);
@@ -77,7 +77,7 @@
 }
 
 TEST_F(Running, PingIsGoodOnceItServes) {
-  engine(serve_all);
+  add_engine(serve_all);
   start();
   FrontClient client(controller->address());
   client.ping(1);
@@ -94,7 +94,7 @@
 }
 
 TEST_F(Running, AnErrorOfAnUnsafeQueryFails) {
-  engine([](const HttpCall&) { return reply(500); });
+  add_engine([](const HttpCall&) { return reply(500); });
   start();
   EXPECT_EQ(ask({{"service", "once"}}).kind, Kind::kFailed);
   EXPECT_EQ(engines[0]->count("POST"), 1);
@@ -104,24 +104,24 @@
   const auto full_first = [tries = std::make_shared<std::atomic<int>>(0)](const HttpCall&) {
     return tries->fetch_add(1) == 0 ? reply(503, {{"Not-Begun", "1"}}) : served("x\ty\tz\n");
   };
-  engine(full_first);
-  engine(full_first);
+  add_engine(full_first);
+  add_engine(full_first);
   start();
   EXPECT_EQ(ask({{"service", "once"}}).kind, Kind::kServed);
   EXPECT_EQ(engines[0]->count("POST") + engines[1]->count("POST"), 2);
 }
 
 TEST_F(Running, ARefusedConnectionGoesToAnotherEngine) {
-  engine(serve_all);
-  engine(serve_all);
+  add_engine(serve_all);
+  add_engine(serve_all);
   start();
   engines[0]->stop();
   for (int i = 0; i < 6; ++i) EXPECT_EQ(ask({{"service", "once"}}).kind, Kind::kServed);
 }
 
 TEST_F(Running, AbortLeadsToDelete) {
-  engine([](const HttpCall& call) {
-    return call.method == "DELETE" ? reply(204) : misbehave(HttpReply::Way::kSilent);
+  add_engine([](const HttpCall& call) {
+    return call.method == "DELETE" ? reply(204) : misbehave(HttpReply::Behavior::kSilent);
   });
   start();
   FrontClient client(controller->address());
@@ -135,8 +135,8 @@
 }
 
 TEST_F(Running, AClientThatLeavesLeadsToDelete) {
-  engine([](const HttpCall& call) {
-    return call.method == "DELETE" ? reply(204) : misbehave(HttpReply::Way::kSilent);
+  add_engine([](const HttpCall& call) {
+    return call.method == "DELETE" ? reply(204) : misbehave(HttpReply::Behavior::kSilent);
   });
   start();
   FrontClient client(controller->address());
@@ -150,9 +150,9 @@
 // of 200 of them waited out their 30 s.
 TEST_F(Running, TheOnlyEngineIsTriedAgainByThoseThatLostTheirTry) {
   const auto cancels_seen = std::make_shared<std::atomic<int>>(0);
-  engine([cancels_seen](const HttpCall& call) {
+  add_engine([cancels_seen](const HttpCall& call) {
     if (call.method == "DELETE") return ++*cancels_seen, reply(204);
-    return *cancels_seen < 3 ? misbehave(HttpReply::Way::kSilent) : served("x\ty\tz\n");
+    return *cancels_seen < 3 ? misbehave(HttpReply::Behavior::kSilent) : served("x\ty\tz\n");
   });
   start();
   FrontClient client(controller->address());
@@ -164,11 +164,11 @@
   // The engine that is called first stays silent.
   const auto silent_engine = std::make_shared<std::atomic<int>>(-1);
   for (int i = 0; i < 2; ++i) {
-    engine([silent_engine, i](const HttpCall& call) {
+    add_engine([silent_engine, i](const HttpCall& call) {
       int no_engine = -1;
       silent_engine->compare_exchange_strong(no_engine, i);
       if (call.method == "DELETE") return reply(204);
-      return silent_engine->load() == i ? misbehave(HttpReply::Way::kSilent) : served("x\ty\tz\n");
+      return silent_engine->load() == i ? misbehave(HttpReply::Behavior::kSilent) : served("x\ty\tz\n");
     });
   }
   start();
@@ -178,8 +178,8 @@
 }
 
 TEST_F(Running, AnAnswerThatIsResetIsAskedForAgain) {
-  engine([](const HttpCall& call) {
-    return call.method == "POST" ? misbehave(HttpReply::Way::kReset) : served("again\t1\t2\n");
+  add_engine([](const HttpCall& call) {
+    return call.method == "POST" ? misbehave(HttpReply::Behavior::kReset) : served("again\t1\t2\n");
   });
   start();
   const FrontAnswer answer = ask({{"service", "once"}});
@@ -189,9 +189,9 @@
 }
 
 TEST_F(Running, AnAnswerThatIsCutIsNeverPassedOn) {
-  engine([](const HttpCall& call) {
+  add_engine([](const HttpCall& call) {
     HttpReply cut = served("a\tb\tc\nd\te\tf\n");
-    cut.way = HttpReply::Way::kCutBody;
+    cut.behavior = HttpReply::Behavior::kTruncatedBody;
     return call.method == "DELETE" ? reply(204) : cut;
   });
   start();
@@ -210,9 +210,9 @@
   // One engine for each: after a few errors the decision module would send such queries elsewhere.
   for (const auto& bytes : bad) {
     HttpStandIn broken([&bytes](const HttpCall& call) {
-      return call.method == "DELETE" ? reply(204) : misbehave(HttpReply::Way::kRaw, bytes);
+      return call.method == "DELETE" ? reply(204) : misbehave(HttpReply::Behavior::kRaw, bytes);
     });
-    options.members = {member("s-0", broken.address())};
+    options.members = {member_json("s-0", broken.address())};
     start();
     EXPECT_EQ(ask({{"service", "once"}}).kind, Kind::kFailed) << bytes.substr(0, 60);
     ASSERT_TRUE(broken.wait_for("DELETE", last_reference));
@@ -226,9 +226,9 @@
 
 // The given length may leave rows out, so the answer is requested again, on another connection.
 TEST_F(Running, BytesBehindRowsAreNotPassedOver) {
-  engine([](const HttpCall& call) {
+  add_engine([](const HttpCall& call) {
     if (call.method != "POST") return served("x\ty\tz\nx\ty\tz\n");
-    return misbehave(HttpReply::Way::kRaw,
+    return misbehave(HttpReply::Behavior::kRaw,
                      "HTTP/1.1 200 OK\r\nX-Pages: 1\r\nContent-Length: 6\r\n\r\nx\ty\tz\nx\ty\tz\n");
   });
   start();
@@ -239,7 +239,7 @@
 }
 
 TEST_F(Running, NoiseInPlaceOfRowsIsNeverPassedOn) {
-  engine([](const HttpCall& call) {
+  add_engine([](const HttpCall& call) {
     return call.method == "POST" ? served("no\trows\n") : served("a\tb\tc\n");
   });
   start();
@@ -247,10 +247,10 @@
 }
 
 TEST_F(Running, NothingNewGoesToAnEngineThatDrains) {
-  engine(serve_all);
-  engine(serve_all);
+  add_engine(serve_all);
+  add_engine(serve_all);
   start();
-  change_log.tell(member("s-0", engines[0]->address(), "terminating"));
+  change_log.publish(member_json("s-0", engines[0]->address(), "terminating"));
   ASSERT_TRUE(controller->wait_for_counter("list.changes", 2));
   for (int i = 0; i < 10; ++i) EXPECT_EQ(ask().kind, Kind::kServed);
   EXPECT_EQ(engines[0]->count("POST"), 0);
@@ -258,11 +258,11 @@
 }
 
 TEST_F(Running, ANewEngineAtAnOldAddressGetsConnectionsOfItsOwn) {
-  engine(serve_all);
+  add_engine(serve_all);
   start();
   EXPECT_EQ(ask().kind, Kind::kServed);
-  change_log.tell(member("s-0", engines[0]->address(), "terminated") + "," +
-                  member("s-9", engines[0]->address()));
+  change_log.publish(member_json("s-0", engines[0]->address(), "terminated") + "," +
+                     member_json("s-9", engines[0]->address()));
   ASSERT_TRUE(controller->wait_for_counter("list.changes", 2));
   EXPECT_EQ(ask().kind, Kind::kServed);
   const auto calls = engines[0]->calls();
@@ -271,7 +271,7 @@
 }
 
 TEST_F(Running, TheCallsOfAnAttemptShareAConnectionThoseOfTwoQueriesNever) {
-  engine([](const HttpCall& call) {
+  add_engine([](const HttpCall& call) {
     if (call.method == "POST") return reply(202);
     return call.path.ends_with("/0") ? served("a\tb\tc\n", 2) : reply(200, {{"X-Page", "1"}}, "d\te\tf\n");
   });
@@ -283,7 +283,7 @@
 }
 
 TEST_F(Running, AChangeLogThatTalksNonsenseDoesNoHarm) {
-  engine(serve_all);
+  add_engine(serve_all);
   HttpStandIn nonsense([n = std::make_shared<std::atomic<int>>(0)](const HttpCall&) {
     switch (n->fetch_add(1) % 5) {
       case 0:
@@ -291,11 +291,11 @@
       case 1:
         return reply(500);
       case 2:
-        return misbehave(HttpReply::Way::kReset);
+        return misbehave(HttpReply::Behavior::kReset);
       case 3:
         return reply(200, {}, R"({"seq":1,"results":[{"seq":1,"fleet":{"complete":true,"members":[]}},7]})");
       default:
-        return misbehave(HttpReply::Way::kRaw, "garbage\r\n\r\n");
+        return misbehave(HttpReply::Behavior::kRaw, "garbage\r\n\r\n");
     }
   });
   options.change_log = nonsense.address();
@@ -306,11 +306,11 @@
 }
 
 TEST_F(Running, AChangeLogThatFallsSilentIsAskedAnew) {
-  engine(serve_all);
-  engine(serve_all);
-  const std::string drained = member("s-0", engines[0]->address(), "terminating");
+  add_engine(serve_all);
+  add_engine(serve_all);
+  const std::string drained = member_json("s-0", engines[0]->address(), "terminating");
   HttpStandIn silent_once([drained, n = std::make_shared<std::atomic<int>>(0)](const HttpCall&) {
-    if (n->fetch_add(1) == 0) return misbehave(HttpReply::Way::kSilent);
+    if (n->fetch_add(1) == 0) return misbehave(HttpReply::Behavior::kSilent);
     return reply(200, {}, R"({"seq":2,"results":[{"seq":2,"fleet":{"members":[)" + drained + "]}}]}");
   });
   options.change_log = silent_once.address();
@@ -328,8 +328,8 @@
   vanished.listen(1);
   std::vector<Poco::Net::StreamSocket> backlog_fillers(8);  // fill its backlog; nobody accepts
   for (auto& socket : backlog_fillers) socket.connectNB(vanished.address());
-  engine(serve_all);
-  options.members.push_back(member("s-v", vanished.address().toString()));
+  add_engine(serve_all);
+  options.members.push_back(member_json("s-v", vanished.address().toString()));
   start();
   for (int group = 1; group <= 8; ++group) {
     FrontClient client(controller->address());
@@ -340,17 +340,17 @@
 }
 
 TEST_F(Running, AReloadGoesOverToTheNewChangeLogWithTheNumbersThatItHas) {
-  engine(serve_all);
-  engine(serve_all);
+  add_engine(serve_all);
+  add_engine(serve_all);
   start();
-  change_log.tell(member("s-9", "127.0.0.1:1", "terminated"));  // number 2
+  change_log.publish(member_json("s-9", "127.0.0.1:1", "terminated"));  // number 2
   ASSERT_TRUE(controller->wait_for_counter("list.changes", 2));
   FrontClient client(controller->address());
   client.ping(1);
   ASSERT_EQ(client.receive().kind, Kind::kPong);
   ChangeLogStandIn next;
-  next.tell(member("s-9", "127.0.0.1:1", "terminated"));  // already applied
-  next.tell(member("s-0", engines[0]->address(), "terminating"));
+  next.publish(member_json("s-9", "127.0.0.1:1", "terminated"));  // already applied
+  next.publish(member_json("s-0", engines[0]->address(), "terminating"));
   options.change_log = next.address();
   controller->configure(options);
   controller->signal(SIGHUP);
@@ -369,7 +369,7 @@
 }
 
 TEST_F(Running, AWrongConfigurationIsNamedAndTheOldOneStays) {
-  engine(serve_all);
+  add_engine(serve_all);
   start();
   controller->configure("{\"listen\":\"127.0.0.1:7001\",\"changelog\":\"nowhere\"}");
   controller->signal(SIGHUP);
@@ -377,20 +377,20 @@
   std::filesystem::remove(controller->config_path());
   controller->signal(SIGHUP);
   EXPECT_TRUE(controller->wait_for_line("configuration not taken over: field 'BALANCER_CONFIG'"));
-  change_log.tell(member("s-0", engines[0]->address(), "terminated"));
+  change_log.publish(member_json("s-0", engines[0]->address(), "terminated"));
   EXPECT_TRUE(controller->wait_for_counter("list.changes", 2));
   EXPECT_EQ(controller->counters().at("config.reloads_failed"), 2);
 }
 
 // Guards against a stop that waits for clients which send no request.
 TEST_F(Running, AStopWaitsForNoSilentClient) {
-  engine(serve_all);
+  add_engine(serve_all);
   start();
   FrontClient silent(controller->address());
   FrontClient partial(controller->address());
   partial.ping(1);
   ASSERT_EQ(partial.receive().kind, Kind::kPong);
-  partial.raw(std::string("\x00\x00\x10\x00half", 8));
+  partial.send_raw(std::string("\x00\x00\x10\x00half", 8));
   controller->signal(SIGTERM);
   EXPECT_EQ(controller->wait_exit(), 0);
   EXPECT_NE(controller->log().find("client_ends.shut_down 2"), std::string::npos);
@@ -398,13 +398,13 @@
 
 // Guards against connections that take up a place without ever sending a request.
 TEST_F(Running, SilentNewcomersAndUnfinishedFramesAreClosed) {
-  engine(serve_all);
+  add_engine(serve_all);
   start();
   FrontClient silent(controller->address());
   FrontClient partial(controller->address());
   partial.ping(1);
   ASSERT_EQ(partial.receive().kind, Kind::kPong);
-  partial.raw(std::string("\x00\x00\x10\x00half", 8));
+  partial.send_raw(std::string("\x00\x00\x10\x00half", 8));
   EXPECT_EQ(silent.receive().kind, Kind::kClosed);
   EXPECT_EQ(partial.receive().kind, Kind::kClosed);
   EXPECT_TRUE(controller->wait_for_counter("client_ends.silent", 2));
@@ -412,19 +412,19 @@
 
 // Guards against a hundred silent connections, which took all places for clients.
 TEST_F(Running, SilentConnectionsKeepNobodyOut) {
-  engine(serve_all);
+  add_engine(serve_all);
   options.sockets = 48;
   start();
   std::vector<std::unique_ptr<FrontClient>> silent;
   for (int i = 0; i < 100; ++i) silent.push_back(std::make_unique<FrontClient>(controller->address()));
   EXPECT_EQ(ask().kind, Kind::kServed);
   EXPECT_GT(controller->counters()["client_ends.made_room"], 0);
-  EXPECT_LE(descriptors_of(controller->pid()), 48U);
+  EXPECT_LE(count_descriptors(controller->pid()), 48U);
 }
 
 // Guards against clients that send invalid requests as fast as they are rejected.
 TEST_F(Running, WhoSendsNothingUsableIsClosed) {
-  engine(serve_all);
+  add_engine(serve_all);
   start();
   FrontClient client(controller->address());
   int answered = 0;
@@ -444,7 +444,7 @@
 
 // Guards against a change log whose answer is larger than the memory that there is for it.
 TEST_F(Running, AnAnswerOfTheChangeLogHasABound) {
-  engine(serve_all);
+  add_engine(serve_all);
   HttpStandIn endless([](const HttpCall&) { return reply(200, {}, std::string(40000, ' ')); });
   options.change_log = endless.address();
   options.memory_mb = 2;  // of which 32 KiB are for an answer of the change log
@@ -458,14 +458,14 @@
 
 // Guards against memory that fills up with incomplete frames.
 TEST_F(Running, UnfinishedFramesShareABound) {
-  engine(serve_all);
+  add_engine(serve_all);
   options.memory_mb = 8;  // of which half a MB is for incomplete frames
   start();
   std::vector<std::unique_ptr<FrontClient>> clients;
   for (int i = 0; i < 20; ++i) {
     clients.push_back(std::make_unique<FrontClient>(controller->address()));
     try {
-      clients.back()->raw(std::string("\x00\x00\xff\xff", 4) + std::string(60000, 'x'));
+      clients.back()->send_raw(std::string("\x00\x00\xff\xff", 4) + std::string(60000, 'x'));
     } catch (const apache::thrift::TException&) {
       continue;
     }
@@ -480,7 +480,7 @@
   std::mutex mutex;
   std::condition_variable changed;
   bool may_answer = false;
-  engine([&](const HttpCall&) {
+  add_engine([&](const HttpCall&) {
     std::unique_lock lock(mutex);
     if (!changed.wait_for(lock, std::chrono::milliseconds(200), [&] { return may_answer; }))
       return reply(202);
@@ -511,7 +511,7 @@
 }
 
 TEST_F(Running, ARequestThatCannotBeUsedIsAnsweredByTheProtocol) {
-  engine([](const HttpCall& call) { return call.method == "DELETE" ? reply(204) : reply(202); });
+  add_engine([](const HttpCall& call) { return call.method == "DELETE" ? reply(204) : reply(202); });
   start();
   FrontClient client(controller->address());
   client.invoke(1, {{"service", "unheard-of"}});
@@ -535,7 +535,7 @@
 }
 
 TEST_F(Running, BrokenFramesCloseTheirConnectionAlone) {
-  engine(serve_all);
+  add_engine(serve_all);
   start();
   FrontClient good(controller->address());
   good.ping(1);
@@ -548,7 +548,7 @@
       std::string("\x00\x00\x00\x00", 4)};
   for (const auto& bytes : bad) {
     FrontClient client(controller->address());
-    client.raw(bytes);
+    client.send_raw(bytes);
     EXPECT_EQ(client.receive().kind, Kind::kClosed);
   }
   good.invoke(2);
@@ -556,18 +556,18 @@
 }
 
 TEST_F(Running, ClientsThatVanishInMidFrameHoldNothing) {
-  engine(serve_all);
+  add_engine(serve_all);
   start();
   for (int i = 0; i < 20; ++i) {
     FrontClient client(controller->address());
-    client.raw(std::string("\x00\x00\x10\x00half", 8));
+    client.send_raw(std::string("\x00\x00\x10\x00half", 8));
   }
   expect_all_released();
   EXPECT_EQ(ask().kind, Kind::kServed);
 }
 
 TEST_F(Running, FewDescriptorsAreNeverPassedAndWhoWaitsIsServedLater) {
-  engine(serve_all);
+  add_engine(serve_all);
   options.sockets = 48;
   start();
   std::vector<std::unique_ptr<FrontClient>> clients;
@@ -576,7 +576,7 @@
     clients.back()->invoke(1);
   }
   ASSERT_TRUE(controller->wait_for_line("accepting pauses"));
-  EXPECT_LE(descriptors_of(controller->pid()), 48U);
+  EXPECT_LE(count_descriptors(controller->pid()), 48U);
   for (auto& client : clients) {
     EXPECT_EQ(client->receive().kind, Kind::kServed);
     client->close();
@@ -585,7 +585,7 @@
 }
 
 TEST_F(Running, LittleMemoryStopsReadingNotTheProcess) {
-  engine(serve_eight_pages);
+  add_engine(serve_eight_pages);
   options.memory_mb = 2;
   start();
   std::atomic<int> whole{0};
@@ -602,7 +602,7 @@
 }
 
 TEST_F(Running, ClientsThatReadNothingAreClosedBeforeMemoryRunsOut) {
-  engine(serve_eight_pages);
+  add_engine(serve_eight_pages);
   options.memory_mb = 1;
   start();
   std::vector<std::unique_ptr<FrontClient>> clients;
@@ -627,7 +627,7 @@
 }
 
 TEST_F(Running, WhereTheSystemGivesNoMoreDescriptorsWhoWaitsIsServedLater) {
-  engine(serve_all);
+  add_engine(serve_all);
   start();
   const rlimit few{24, 24};
   ASSERT_EQ(prlimit(controller->pid(), RLIMIT_NOFILE, &few, nullptr), 0);
@@ -650,12 +650,12 @@
       case 7:
         return reply(500);
       case 9:
-        return misbehave(HttpReply::Way::kReset);
+        return misbehave(HttpReply::Behavior::kReset);
       default:
         return served("a\tb\tc\n");
     }
   };
-  for (int i = 0; i < 3; ++i) engine(mixed_replies);
+  for (int i = 0; i < 3; ++i) add_engine(mixed_replies);
   start();
   for (int round = 0; round < 10; ++round) {
     FrontClient client(controller->address());
--- a/tests/integration/crossings_test.cpp
+++ b/tests/integration/crossings_test.cpp
@@ -43,13 +43,13 @@
     HttpStandIn log([&](const HttpCall& call) {
       while (!told) std::this_thread::sleep_for(std::chrono::milliseconds(1));
       HttpReply silent;
-      silent.way = HttpReply::Way::kSilent;
+      silent.behavior = HttpReply::Behavior::kSilent;
       if (call.path.find("since=1&") == std::string::npos) return silent;
       return reply(200, {},
                    R"({"seq":2,"results":[{"seq":2,"fleet":{"members":[)" +
-                       member("s-0", only.address(), "terminating") + "]}}]}");
+                       member_json("s-0", only.address(), "terminating") + "]}}]}");
     });
-    options.members = {member("s-0", only.address())};
+    options.members = {member_json("s-0", only.address())};
     options.change_log = log.address();
     start();
     FrontClient client(controller->address());
@@ -77,7 +77,7 @@
 }
 
 TEST_F(Crossing, AClientThatLeftInAStallIsSentNothingFor) {
-  HttpStandIn& only = engine([](const HttpCall&) { return refuse_as_full(); });
+  HttpStandIn& only = add_engine([](const HttpCall&) { return refuse_as_full(); });
   start();
   for (const bool closes : {true, false}) {
     const int before = only.count("POST");
@@ -106,14 +106,14 @@
   std::vector<Poco::Net::StreamSocket> filling(8);
   for (auto& socket : filling) socket.connectNB(slow.address());
   const std::string at = slow.address().toString();
-  options.members.push_back(member("s-slow", at));
+  options.members.push_back(member_json("s-slow", at));
   options.connect_timeout_us = 30'000'000;
   start();
   FrontClient client(controller->address());
   client.invoke(1, {{"service", "once"}});
   ASSERT_TRUE(controller->wait_for_counter("connections.connected", 1));
   HttpStandIn next(serve_all);
-  change_log.tell(member("s-slow", at, "terminating") + "," + member("s-next", next.address()));
+  change_log.publish(member_json("s-slow", at, "terminating") + "," + member_json("s-next", next.address()));
   EXPECT_EQ(client.receive().kind, Kind::kServed);
   EXPECT_EQ(next.count("POST"), 1);
   const auto counters = controller->counters();
@@ -130,9 +130,10 @@
     if (call.path.find("since=1&") == std::string::npos) return reply(200, {}, R"({"seq":3,"results":[]})");
     while (!told) std::this_thread::sleep_for(std::chrono::milliseconds(1));
     return reply(200, {},
-                 R"({"seq":3,"results":[{"seq":2,"fleet":{"members":[)" + member("s-a", brief.address()) +
-                     R"(]}},{"seq":3,"fleet":{"members":[)" + member("s-a", brief.address(), "terminating") +
-                     "," + member("s-b", lasting.address()) + "]}}]}");
+                 R"({"seq":3,"results":[{"seq":2,"fleet":{"members":[)" +
+                     member_json("s-a", brief.address()) + R"(]}},{"seq":3,"fleet":{"members":[)" +
+                     member_json("s-a", brief.address(), "terminating") + "," +
+                     member_json("s-b", lasting.address()) + "]}}]}");
   });
   options.change_log = log.address();
   start();
@@ -150,7 +151,7 @@
 // Statements fill their part of the memory, so reading from clients is paused. A close or an abort is still
 // noticed.
 TEST_F(Crossing, AClientThatGoesWhileItIsPausedIsSeen) {
-  HttpStandIn& only = engine(run_until_cancelled);
+  HttpStandIn& only = add_engine(run_until_cancelled);
   options.memory_mb = 16;  // of which a sixteenth is for statements
   start();
   std::vector<std::unique_ptr<FrontClient>> going;
@@ -181,7 +182,7 @@
 
 // A request that was read is answered before its connection is closed for invalid bytes behind it.
 TEST_F(Crossing, ARequestBesideBytesThatCanNotBeReadIsAnsweredBeforeTheClose) {
-  HttpStandIn& only = engine([](const HttpCall& call) {
+  HttpStandIn& only = add_engine([](const HttpCall& call) {
     std::this_thread::sleep_for(std::chrono::milliseconds(call.method == "GET" ? 300 : 0));
     return call.method == "POST" ? reply(202) : serve_all(call);
   });
@@ -189,7 +190,7 @@
   FrontClient in_pieces(controller->address());
   in_pieces.invoke(1);
   ASSERT_TRUE(only.wait_for("POST", "/v2/q"));
-  in_pieces.raw("\xff\xff\xff\xff");  // a frame length above the maximum
+  in_pieces.send_raw("\xff\xff\xff\xff");  // a frame length above the maximum
   EXPECT_EQ(in_pieces.receive().kind, Kind::kServed);
   EXPECT_EQ(in_pieces.receive().kind, Kind::kClosed);
   const auto counters = controller->counters();
@@ -198,43 +199,43 @@
 }
 
 TEST_F(Crossing, ARequestBesideAFrameThatNeverEndsIsAnsweredBeforeTheClose) {
-  engine([begun = std::chrono::steady_clock::now()](const HttpCall& call) {
+  add_engine([begun = std::chrono::steady_clock::now()](const HttpCall& call) {
     std::this_thread::sleep_for(std::chrono::milliseconds(call.method == "GET" ? 240 : 0));
     const bool over = std::chrono::steady_clock::now() - begun > std::chrono::milliseconds(2800);
     return over ? serve_all(call) : run_until_cancelled(call);
   });
   start();
   FrontClient client(controller->address());
-  client.invoke(1, {{"effort", "2000.0"}});            // long enough not to become overdue
-  client.raw(std::string("\x00\x00\x10\x00half", 8));  // incomplete for 2 s: closed
+  client.invoke(1, {{"effort", "2000.0"}});                 // long enough not to become overdue
+  client.send_raw(std::string("\x00\x00\x10\x00half", 8));  // incomplete for 2 s: closed
   EXPECT_EQ(client.receive().kind, Kind::kServed);
   EXPECT_EQ(client.receive().kind, Kind::kClosed);
 }
 
 TEST_F(Crossing, AClientThatIsToBeClosedAndLeavesIsSeen) {
-  HttpStandIn& only = engine(run_until_cancelled);
+  HttpStandIn& only = add_engine(run_until_cancelled);
   start();
   FrontClient client(controller->address());
   client.invoke(1);
   ASSERT_TRUE(only.wait_for("POST", "/v2/q"));
-  client.raw("\xff\xff\xff\xff");
+  client.send_raw("\xff\xff\xff\xff");
   client.close();
   EXPECT_TRUE(only.wait_for("DELETE", client.reference_of(1)));
   expect_nothing_open();
 }
 
 TEST_F(Crossing, AChangeLogThatLostItsEventsIsListedAnew) {
-  engine(serve_all);
-  engine(serve_all);
+  add_engine(serve_all);
+  add_engine(serve_all);
   HttpStandIn log([&, n = std::make_shared<std::atomic<int>>(0)](const HttpCall& call) {
     if (call.path.find("since=0&") != std::string::npos)
       return reply(200, {},
                    R"({"seq":3,"results":[{"seq":3,"fleet":{"complete":true,"members":[)" +
-                       member("s-0", engines[0]->address(), "terminating") + "," +
-                       member("s-1", engines[1]->address()) + "]}}]}");
+                       member_json("s-0", engines[0]->address(), "terminating") + "," +
+                       member_json("s-1", engines[1]->address()) + "]}}]}");
     if (call.path.find("since=3&") != std::string::npos) {
       HttpReply silent;
-      silent.way = HttpReply::Way::kSilent;
+      silent.behavior = HttpReply::Behavior::kSilent;
       return silent;
     }
     if (n->fetch_add(1) == 0) return reply(200, {}, R"({"seq":9,"results":[]})");
@@ -267,7 +268,7 @@
   const std::string path = directory + "/config.json";
   ASSERT_EQ(mkfifo(path.c_str(), 0600), 0);
   options.change_log = "127.0.0.1:2";
-  const std::string before = config_of(options);
+  const std::string before = make_config_json(options);
   std::string after = before;
   after.replace(after.find("127.0.0.1:2"), 11, "127.0.0.1:3");
   controller =
@@ -298,8 +299,8 @@
 }
 
 TEST_F(Crossing, IdleClientsFillTheirPlacesWhileDiscoveryIsDownAndItsReturnIsHeard) {
-  engine(serve_all);
-  engine(serve_all);
+  add_engine(serve_all);
+  add_engine(serve_all);
   options.change_log = free_address();
   options.sockets = 48;
   start();
@@ -313,16 +314,16 @@
       [&](const HttpCall& call) {
         if (call.path.find("since=1&") == std::string::npos) {
           HttpReply silent;
-          silent.way = HttpReply::Way::kSilent;
+          silent.behavior = HttpReply::Behavior::kSilent;
           return silent;
         }
         return reply(200, {},
                      R"({"seq":2,"results":[{"seq":2,"fleet":{"members":[)" +
-                         member("s-0", engines[0]->address(), "terminating") + "]}}]}");
+                         member_json("s-0", engines[0]->address(), "terminating") + "]}}]}");
       },
       options.change_log);
   ASSERT_TRUE(controller->wait_for_counter("list.changes", 2));
-  EXPECT_LE(descriptors_of(controller->pid()), 48U);
+  EXPECT_LE(count_descriptors(controller->pid()), 48U);
   for (auto& client : idle) client->close();
   for (int i = 1; i <= 6; ++i) {
     FrontClient client(controller->address());
--- a/tests/integration/engine_client_test.cpp
+++ b/tests/integration/engine_client_test.cpp
@@ -16,20 +16,20 @@
   static HttpReply script(const HttpCall& call) {
     HttpReply reply;
     reply.status = 204;
-    if (call.method != "DELETE") reply.way = HttpReply::Way::kSilent;
+    if (call.method != "DELETE") reply.behavior = HttpReply::Behavior::kSilent;
     if (call.body == "half") reply = half();
     return reply;
   }
 
   static HttpReply half() {
     HttpReply reply;
-    reply.way = HttpReply::Way::kRaw;
+    reply.behavior = HttpReply::Behavior::kRaw;
     reply.body = "HTTP/1.1 200 OK\r\nX-Pages: 1\r\nContent-Length: 6\r\n\r\nx\t";
     return reply;
   }
 
   void start(core::CallId id, core::CallKind kind, const std::string& statement = "") {
-    core::StartCall call;
+    core::SendCall call;
     call.call = id;
     call.attempt = id;
     call.kind = kind;
@@ -47,13 +47,13 @@
   // Runs the event loop until `done` returns true, which is called once a turn.
   void run_until(std::function<bool()> done) {
     condition = std::move(done);
-    reactor.hurry();
+    reactor.skip_next_wait();
     reactor.run();
   }
 
   TimeUs turn() {
     client.check(net::monotonic_now());
-    context.closed.clear();
+    context.pending_destruction.clear();
     if (condition()) reactor.stop();
     return 1000;
   }
@@ -80,10 +80,10 @@
 TEST_F(FewDescriptors, GivingUpGoesBeforeNewSends) {
   for (core::CallId id = 1; id <= 9; ++id) start(id, core::CallKind::kStart);
   EXPECT_EQ(client.connections(), 7U);  // two starts wait
-  start(10, core::CallKind::kNews);     // uses the eighth
+  start(10, core::CallKind::kPoll);     // uses the eighth
   EXPECT_EQ(client.connections(), 8U);
-  start(11, core::CallKind::kNews);
-  start(12, core::CallKind::kGiveUp);
+  start(11, core::CallKind::kPoll);
+  start(12, core::CallKind::kCancel);
   EXPECT_EQ(counters.waiting_calls.now, 4U);
   run_until([this] { return engine.count("POST") == 7 && engine.count("GET") == 1; });
   client.drop(1);
@@ -106,7 +106,7 @@
     ends[ended.call] = ended.end;
   }
   ASSERT_EQ(ends.size(), 8U);
-  EXPECT_EQ(ends.at(1), core::ConnectionEnd::kNotUpInTime);  // no turn ran that could complete its connect
+  EXPECT_EQ(ends.at(1), core::ConnectionEnd::kConnectTimeout);  // no turn ran that could complete its connect
   EXPECT_EQ(ends.at(8), core::ConnectionEnd::kNoDescriptor);
   client.close_all();
 }
@@ -130,9 +130,9 @@
 // Guards against a process that was stopped and then takes every engine for silent, while their answers are
 // unread.
 TEST_F(FewDescriptors, TimeThatThisProcessLostIsNotTheEngines) {
-  start(1, core::CallKind::kNews);
+  start(1, core::CallKind::kPoll);
   run_until([this] { return engine.count("GET") == 1; });
-  context.lost += 120'000'000;
+  context.stalled_time += 120'000'000;
   client.check(net::monotonic_now() + 100'000'000);
   EXPECT_TRUE(events.empty());
   client.check(net::monotonic_now() + 200'000'000);
--- a/tests/integration/front_client.cpp
+++ b/tests/integration/front_client.cpp
@@ -116,7 +116,7 @@
   framed_->flush();
 }
 
-void FrontClient::raw(const std::string& bytes) {
+void FrontClient::send_raw(const std::string& bytes) {
   socket_->write(reinterpret_cast<const std::uint8_t*>(bytes.data()),
                  static_cast<std::uint32_t>(bytes.size()));
 }
--- a/tests/integration/front_client.h
+++ b/tests/integration/front_client.h
@@ -39,7 +39,7 @@
   void abort(std::int32_t aborted);  // aborts the request of that sequence number; has no answer
   void ping(std::int32_t sequence);
   void call(const std::string& method, std::int32_t sequence);  // of any method, without fields
-  void raw(const std::string& bytes);                           // writes these bytes, unframed
+  void send_raw(const std::string& bytes);                      // writes these bytes, unframed
   FrontAnswer receive();                                        // waits for the next answer
   // Whether the controller has ended the connection and nothing is left to read; does not wait.
   bool ended_by_peer() const;
--- a/tests/integration/front_door_fixture.h
+++ b/tests/integration/front_door_fixture.h
@@ -81,8 +81,8 @@
     socklen_t size = sizeof socket_address;
     ASSERT_EQ(getsockname(listener, reinterpret_cast<sockaddr*>(&socket_address), &size), 0);
     address = Poco::Net::SocketAddress("127.0.0.1", ntohs(socket_address.sin_port));
-    client_listener =
-        std::make_unique<net::FrontDoor>(context, listener, net::FrontLimits{clients, 1'000'000}, reducer);
+    client_listener = std::make_unique<net::ClientListener>(
+        context, listener, net::ClientListenerLimits{clients, 1'000'000}, reducer);
   }
 
   Poco::Net::StreamSocket connect() {
@@ -136,7 +136,7 @@
   // Called by the loop's thread; returns its longest wait (us).
   TimeUs turn() {
     std::unique_lock lock(mutex);
-    context.closed.clear();
+    context.pending_destruction.clear();
     if (client_listener) client_listener->between_turns(net::monotonic_now());
     if (condition && condition()) {
       running = false;
@@ -174,7 +174,7 @@
   bool running = false;
   bool finished = false;
   std::thread loop;
-  bool crowded = false;
+  bool under_memory_pressure = false;
   metrics::Counters counters;
   net::BufferPool pool{100, counters};
   net::Reactor reactor{[this] { return turn(); }};
@@ -185,12 +185,12 @@
                        counters,
                        log,
                        [this](core::Event e) { events.push_back(std::move(e)); },
-                       [this] { return crowded; },
+                       [this] { return under_memory_pressure; },
                        [](core::CallId) { return Denial::kNone; },
                        {}};
   core::Reducer reducer{settings(), 1, counters};
   Poco::Net::SocketAddress address;
-  std::unique_ptr<net::FrontDoor> client_listener;
+  std::unique_ptr<net::ClientListener> client_listener;
 };
 
 }  // namespace orchidgw::integration
--- a/tests/integration/front_door_memory_test.cpp
+++ b/tests/integration/front_door_memory_test.cpp
@@ -53,7 +53,7 @@
   auto socket = client();
   write(socket, invoke(2));
   ASSERT_TRUE(run_until([this] { return count<core::RequestArrived>() == 1; }));
-  crowded = true;
+  under_memory_pressure = true;
   std::string many_calls;
   for (std::int32_t i = 3; i < 2000; ++i) many_calls += invoke(i);
   write(socket, many_calls + abort(2));
@@ -79,7 +79,7 @@
   client_listener->answer(answer);
   ASSERT_TRUE(pool.over_limit());
   client_listener->between_turns(net::monotonic_now());
-  EXPECT_EQ(counters.violations[static_cast<std::size_t>(Denial::kAnswerOwed)], 0U);
+  EXPECT_EQ(counters.violations[static_cast<std::size_t>(Denial::kAnswerPending)], 0U);
 }
 
 // Calls beyond the bound are refused, held calls are served later, and each call arrives once.
@@ -88,18 +88,18 @@
   auto socket = client();
   write(socket, invoke(2));
   ASSERT_TRUE(run_until([this] { return count<core::RequestArrived>() == 1; }));
-  crowded = true;
+  under_memory_pressure = true;
   write(socket, calls_from(3));
   ASSERT_TRUE(run_some_turns());
   const std::size_t refused = arrivals().size() - 1;
   EXPECT_GT(refused, 0U);
-  crowded = false;
+  under_memory_pressure = false;
   ASSERT_TRUE(run_until([this] { return count<core::RequestArrived>() == kManyCalls - 2; }));
   std::set<core::RequestTag> tags;
   std::size_t with_reason = 0;
   for (const core::RequestArrived* request : arrivals()) {
     tags.insert(request->tag);
-    if (request->refuse_as == Reason::kBacklog) ++with_reason;
+    if (request->refusal_reason == Reason::kBacklog) ++with_reason;
   }
   EXPECT_EQ(tags.size(), arrivals().size());
   EXPECT_EQ(with_reason, refused);
@@ -110,11 +110,11 @@
 TEST_F(FrontDoorMemory, AnAbortOfAHeldCallBehindUnreadBytesIsHeardBeforeTheCallIsTaken) {
   open(4);
   auto socket = client();
-  crowded = true;
+  under_memory_pressure = true;
   write(socket, calls_from(2) + abort(5));
   ASSERT_TRUE(run_some_turns());
   ASSERT_EQ(count<core::RequestArrived>(), 0U);
-  crowded = false;
+  under_memory_pressure = false;
   ASSERT_TRUE(run_until([this] { return count<core::RequestArrived>() == kManyCalls - 3; }));
   for (const core::RequestArrived* request : arrivals()) EXPECT_NE(request->tag, 5);
   EXPECT_EQ(count<core::RequestAborted>(), 0U);
@@ -142,17 +142,17 @@
   auto socket = client();
   write(socket, invoke(2));
   ASSERT_TRUE(run_until([this] { return count<core::RequestArrived>() == 1; }));
-  crowded = true;
+  under_memory_pressure = true;
   write(socket, invoke(3));
   ASSERT_TRUE(run_some_turns());
   answer_with_large_result(2);
   client_listener->between_turns(net::monotonic_now());
   ASSERT_EQ(arrivals().size(), 2U);
-  EXPECT_EQ(arrivals().back()->refuse_as, Reason::kBacklog);
+  EXPECT_EQ(arrivals().back()->refusal_reason, Reason::kBacklog);
   answer_refused(3);
   client_listener->between_turns(net::monotonic_now());
   EXPECT_EQ(ends(core::ConnectionEnd::kSilent), 1U);
-  EXPECT_EQ(counters.violations[static_cast<std::size_t>(Denial::kAnswerOwed)], 0U);
+  EXPECT_EQ(counters.violations[static_cast<std::size_t>(Denial::kAnswerPending)], 0U);
 }
 
 }  // namespace
--- a/tests/integration/front_door_test.cpp
+++ b/tests/integration/front_door_test.cpp
@@ -20,7 +20,7 @@
 TEST_F(FrontDoorTest, ARequestThatComesAsANewcomersTimeIsUpIsRead) {
   open(4);
   auto socket = connect();
-  run_until([this] { return counters.accepted == 1; });
+  run_until([this] { return counters.accepted_connections == 1; });
   write(socket, invoke(1));
   client_listener->between_turns(net::monotonic_now() + 3 * kSecond);
   EXPECT_EQ(count<core::RequestArrived>(), 1U);
@@ -47,7 +47,7 @@
   auto newcomer = connect();
   client_listener->on_readable();
   EXPECT_EQ(count<core::RequestArrived>(), 1U);
-  EXPECT_EQ(ends(core::ConnectionEnd::kMadeRoom), 0U);
+  EXPECT_EQ(ends(core::ConnectionEnd::kEvicted), 0U);
 }
 
 // Guards against a close over unread bytes, after which the kernel sends a reset that discards answers; and
@@ -82,7 +82,7 @@
   std::string many_calls;
   for (int i = 0; i < 4000; ++i) many_calls += nonsense;  // far more than is read at once
   write(socket, many_calls);
-  run_until([this] { return ends(core::ConnectionEnd::kTooMuch) == 1; });
+  run_until([this] { return ends(core::ConnectionEnd::kLimitExceeded) == 1; });
   run_until([this, turns = 0]() mutable { return ++turns > 20; });
   int last = 1;
   int bytes = 0;
@@ -110,7 +110,7 @@
 TEST_F(FrontDoorTest, AClientThatLeavesBehindUnreadBytesIsSeen) {
   open(4);
   auto socket = client();
-  crowded = true;
+  under_memory_pressure = true;
   std::string many_calls;
   for (std::int32_t i = 2; i < 2000; ++i) many_calls += invoke(i);
   write(socket, many_calls);
@@ -127,7 +127,7 @@
 TEST_F(FrontDoorTest, AbortsOfAPausedClientGoThroughAndItsCallsWaitInOrder) {
   open(4);
   auto socket = client();
-  crowded = true;
+  under_memory_pressure = true;
   for (std::int32_t i = 2; i <= 5; ++i) write(socket, invoke(i));
   write(socket, abort(3));  // its call is held: the abort is not passed on
   write(socket, abort(1));  // its call was acted on before
@@ -135,7 +135,7 @@
   EXPECT_EQ(std::get<core::RequestAborted>(events.back()).tag, 1);
   EXPECT_EQ(count<core::RequestArrived>(), 0U);
   EXPECT_FALSE(client_listener->empty());
-  crowded = false;
+  under_memory_pressure = false;
   run_until([this] { return count<core::RequestArrived>() == 3; });
   std::vector<core::RequestTag> tags;
   for (const core::Event& event : events)
@@ -148,13 +148,13 @@
 // Guards against a shutdown that drops connections waiting to be accepted while memory is short.
 TEST_F(FrontDoorTest, AStopListensUntilWhoWaitsHasAPlace) {
   open(4);
-  crowded = true;
+  under_memory_pressure = true;
   auto socket = connect();
   EXPECT_FALSE(client_listener->stop_listening(false));
-  EXPECT_EQ(counters.accepted, 0U);
-  crowded = false;
+  EXPECT_EQ(counters.accepted_connections, 0U);
+  under_memory_pressure = false;
   EXPECT_TRUE(client_listener->stop_listening(false));
-  EXPECT_EQ(counters.accepted, 1U);
+  EXPECT_EQ(counters.accepted_connections, 1U);
   write(socket, invoke(1));
   run_until([this] { return count<core::RequestArrived>() == 1; });
 }
--- a/tests/integration/http_stand_in.cpp
+++ b/tests/integration/http_stand_in.cpp
@@ -112,33 +112,34 @@
 }
 
 bool HttpStandIn::send_reply(Poco::Net::StreamSocket& socket, const HttpReply& reply) {
-  using Way = HttpReply::Way;
-  if (reply.way == Way::kReset) {
+  using Behavior = HttpReply::Behavior;
+  if (reply.behavior == Behavior::kReset) {
     reset(socket);
     return false;
   }
-  if (reply.way == Way::kClose) {
+  if (reply.behavior == Behavior::kClose) {
     socket.shutdown();
     socket.close();
     return false;
   }
-  if (reply.way == Way::kSilent) {
+  if (reply.behavior == Behavior::kSilent) {
     std::unique_lock lock(mutex_);
     changed_.wait(lock, [this] { return stopped_.load(); });
     return false;
   }
   std::string bytes = reply.body;
-  if (reply.way != Way::kRaw) {
+  if (reply.behavior != Behavior::kRaw) {
     bytes = "HTTP/1.1 " + std::to_string(reply.status) + " x\r\n";
     for (const auto& [name, value] : reply.headers) bytes += name + ": " + value + "\r\n";
     bytes += "Content-Length: " + std::to_string(reply.body.size()) + "\r\n\r\n";
-    bytes += reply.way == Way::kCutBody ? reply.body.substr(0, reply.body.size() / 2) : reply.body;
+    bytes +=
+        reply.behavior == Behavior::kTruncatedBody ? reply.body.substr(0, reply.body.size() / 2) : reply.body;
   }
   std::size_t sent = 0;
   while (sent < bytes.size())
     sent += static_cast<std::size_t>(
         socket.sendBytes(bytes.data() + sent, static_cast<int>(bytes.size() - sent)));
-  if (reply.way != Way::kCutBody) return true;
+  if (reply.behavior != Behavior::kTruncatedBody) return true;
   socket.shutdown();
   socket.close();
   return false;
--- a/tests/integration/http_stand_in.h
+++ b/tests/integration/http_stand_in.h
@@ -27,9 +27,10 @@
 
 struct HttpReply {
   // kSilent: no answer, the connection stays open. kReset, kClose: the connection is reset or closed without
-  // an answer. kCutBody: half of the body, then the connection is closed. kRaw: the body alone, as it is.
-  enum class Way { kAnswer, kSilent, kReset, kClose, kCutBody, kRaw };
-  Way way = Way::kAnswer;
+  // an answer. kTruncatedBody: half of the body, then the connection is closed. kRaw: the body alone, as it
+  // is.
+  enum class Behavior { kAnswer, kSilent, kReset, kClose, kTruncatedBody, kRaw };
+  Behavior behavior = Behavior::kAnswer;
   int status = 200;
   std::map<std::string, std::string> headers;
   std::string body;  // of kRaw: all bytes that are sent
--- a/tests/integration/levels_days.cpp
+++ b/tests/integration/levels_days.cpp
@@ -218,7 +218,7 @@
   options.limits = levels ? kLevels : "version: 1\n...\n";
   options.config = [&](const std::string& listen) {
     return make_config(listen, change_log.address(),
-                       member("s-0", first.address()) + "," + member("s-1", second.address()));
+                       member_json("s-0", first.address()) + "," + member_json("s-1", second.address()));
   };
   ControllerProcess controller(options);
   Counts counts[3];
--- a/tests/integration/levels_test.cpp
+++ b/tests/integration/levels_test.cpp
@@ -40,10 +40,10 @@
       result.body = "a\tb\tc\n";
       return result;
     });
-    options.members = {member("s-0", engine->address())};
+    options.members = {member_json("s-0", engine->address())};
     options.change_log = change_log.address();
     options.limits = limits;
-    options.words = {"--admin", admin_path()};
+    options.arguments = {"--admin", admin_path()};
     controller = std::make_unique<ControllerProcess>(options);
   }
 
--- a/tests/integration/limits_test.cpp
+++ b/tests/integration/limits_test.cpp
@@ -44,7 +44,7 @@
   void start(const std::string& limits, HttpStandIn::Script script = serve_soon) {
     for (int i = 0; i < 2; ++i) {
       engines.push_back(std::make_unique<HttpStandIn>(script));
-      options.members.push_back(member("s-" + std::to_string(i), engines.back()->address()));
+      options.members.push_back(member_json("s-" + std::to_string(i), engines.back()->address()));
     }
     options.change_log = change_log.address();
     options.limits = limits;
@@ -154,7 +154,7 @@
   controller->configure(options);
   controller->replace_limits("version: 1\n");
   EXPECT_EQ(reload(), 1);
-  change_log.tell(member("s-9", "127.0.0.1:1", "terminated"));
+  change_log.publish(member_json("s-9", "127.0.0.1:1", "terminated"));
   EXPECT_TRUE(controller->wait_for_counter("list.changes", 2));
   EXPECT_EQ(other.server().count("GET"), 0);
   controller->replace_limits(kNoLimits);
@@ -198,7 +198,7 @@
   for (int i = 0; i < 20; ++i) {
     controller->replace_limits(i % 2 == 0 ? limits_for_lookups("  attempts: 3\n") : "version: 1\n");
     controller->signal(SIGHUP);
-    if (i == 10) change_log.tell(member("s-1", engines[1]->address(), "terminating"));
+    if (i == 10) change_log.publish(member_json("s-1", engines[1]->address(), "terminating"));
   }
   controller->replace_limits(limits_for_lookups("  attempts: 1\n"));
   controller->signal(SIGHUP);
@@ -260,7 +260,7 @@
 
 // Guards against an event loop that blocks because nobody reads the program's log.
 TEST_F(Limited, NobodyReadsTheLogAndItServesAllTheSame) {
-  options.words = {"--log-level", "debug", "--log-format", "json"};
+  options.arguments = {"--log-level", "debug", "--log-format", "json"};
   start(kNoLimits);
   controller->pause_log_reading();
   FrontClient client(controller->address());
--- a/tests/integration/loopback_rate.cpp
+++ b/tests/integration/loopback_rate.cpp
@@ -48,10 +48,10 @@
   options.memory_mb = 1024;
   options.limits = limits;
   options.change_log = change_log.address();
-  options.members = {member("s-0", engine.address())};
+  options.members = {member_json("s-0", engine.address())};
   ControllerProcess controller(options);
   const auto started_at = std::chrono::steady_clock::now();
-  const double cpu_before = cpu_of(controller.pid());
+  const double cpu_before = cpu_seconds(controller.pid());
   std::vector<std::thread> clients;
   for (int client_index = 0; client_index < kClients; ++client_index) {
     clients.emplace_back([&] {
@@ -66,7 +66,7 @@
   const std::chrono::duration<double> took = std::chrono::steady_clock::now() - started_at;
   constexpr double kAllQueries = kClients * kQueries;
   std::cout << program << (limits.empty() ? "" : " under 1,000 routes") << ": " << kAllQueries / took.count()
-            << " requests/s, " << (cpu_of(controller.pid()) - cpu_before) / kAllQueries * 1e6
+            << " requests/s, " << (cpu_seconds(controller.pid()) - cpu_before) / kAllQueries * 1e6
             << " us CPU a request\n";
 }
 
--- a/tests/integration/mixed_shapes_test.cpp
+++ b/tests/integration/mixed_shapes_test.cpp
@@ -53,7 +53,7 @@
   options.change_log = change_log.address();
   for (int i = 0; i < 3; ++i) {
     engines.push_back(std::make_unique<HttpStandIn>(serve));
-    options.members.push_back(member("s-" + std::to_string(i), engines.back()->address()));
+    options.members.push_back(member_json("s-" + std::to_string(i), engines.back()->address()));
   }
   options.settings = settings_of(0, true);
   ControllerProcess old_controller(options);
--- a/tests/integration/running_fixture.h
+++ b/tests/integration/running_fixture.h
@@ -37,7 +37,7 @@
 }
 
 // How many descriptors the process has open.
-inline std::size_t descriptors_of(pid_t pid) {
+inline std::size_t count_descriptors(pid_t pid) {
   std::size_t count = 0;
   for (const auto& entry : std::filesystem::directory_iterator("/proc/" + std::to_string(pid) + "/fd")) {
     count += entry.path().empty() ? 0 : 1;
@@ -49,9 +49,10 @@
 class RunningFixture : public ::testing::Test {
  protected:
   // Starts an engine with this script and adds it to the engine list that the controller will start with.
-  HttpStandIn& engine(HttpStandIn::Script script) {
+  HttpStandIn& add_engine(HttpStandIn::Script script) {
     engines.push_back(std::make_unique<HttpStandIn>(std::move(script)));
-    options.members.push_back(member("s-" + std::to_string(engines.size() - 1), engines.back()->address()));
+    options.members.push_back(
+        member_json("s-" + std::to_string(engines.size() - 1), engines.back()->address()));
     return *engines.back();
   }
 
--- a/tests/integration/shutdown_test.cpp
+++ b/tests/integration/shutdown_test.cpp
@@ -40,14 +40,14 @@
   constexpr milliseconds kWork{10};
   if (fault == EngineFault::kHangs) {
     HttpReply silent;
-    silent.way = HttpReply::Way::kSilent;
+    silent.behavior = HttpReply::Behavior::kSilent;
     return silent;
   }
   if (call.method == "DELETE") return reply(204);
   std::this_thread::sleep_for(kWork);
   HttpReply answer = fault == EngineFault::kFails ? reply(500) : served("a\tb\tc\n");
-  if (fault == EngineFault::kResets) answer.way = HttpReply::Way::kReset;
-  if (fault == EngineFault::kCutsAnswers) answer.way = HttpReply::Way::kCutBody;
+  if (fault == EngineFault::kResets) answer.behavior = HttpReply::Behavior::kReset;
+  if (fault == EngineFault::kCutsAnswers) answer.behavior = HttpReply::Behavior::kTruncatedBody;
   return answer;
 }
 
@@ -76,7 +76,7 @@
 TEST_P(ShutdownUnderLoad, EveryRequestIsAnsweredAndItEndsBeforeTheKill) {
   constexpr int kClients = 8;
   const EngineFault fault = std::get<0>(GetParam());
-  engine([fault](const HttpCall& call) { return answer_with(fault, call); });
+  add_engine([fault](const HttpCall& call) { return answer_with(fault, call); });
   start_with_deadline(milliseconds(std::get<1>(GetParam())));
   std::vector<std::unique_ptr<ProbeClient>> clients;
   for (int i = 0; i < kClients; ++i)
@@ -117,7 +117,7 @@
 // that was read may go without.
 TEST_F(Stopping, APipeliningClientGetsAnAnswerToAllThatWasRead) {
   constexpr int kOpenAtOnce = 8;
-  engine([](const HttpCall& call) { return answer_with(EngineFault::kNone, call); });
+  add_engine([](const HttpCall& call) { return answer_with(EngineFault::kNone, call); });
   start_with_deadline(milliseconds(500));
   FrontClient client(controller->address());
   std::atomic<int> answers{0};
@@ -160,14 +160,14 @@
 // Guards against the loss of a request whose first half arrived before SIGTERM and whose rest arrives in
 // time.
 TEST_F(Stopping, HalfARequestIsWaitedForAsLongAsRequestsKeepComing) {
-  engine(serve_all);
+  add_engine(serve_all);
   start_with_deadline(milliseconds(500));
   FrontClient client(controller->address());
   const std::string request = client.encode_invoke(1, {{"allow", "400"}});
-  client.raw(request.substr(0, request.size() / 2));
+  client.send_raw(request.substr(0, request.size() / 2));
   std::thread rest([&] {
     std::this_thread::sleep_for(milliseconds(500));
-    client.raw(request.substr(request.size() / 2));
+    client.send_raw(request.substr(request.size() / 2));
     EXPECT_EQ(client.receive().kind, Kind::kServed);
   });
   const Shutdown shutdown = shut_down(*controller, deadline);
@@ -176,11 +176,11 @@
 }
 
 TEST_F(Stopping, HalfARequestThatNeverGetsWholeHoldsNothingUp) {
-  engine(serve_all);
+  add_engine(serve_all);
   start_with_deadline(milliseconds(100));
   FrontClient client(controller->address());
   const std::string request = client.encode_invoke(1, {{"allow", "100"}});
-  client.raw(request.substr(0, request.size() / 2));
+  client.send_raw(request.substr(0, request.size() / 2));
   expect_ended_by_itself(shut_down(*controller, deadline));
 }
 
@@ -189,7 +189,7 @@
 TEST_F(Stopping, AClientThatReadsNothingHoldsNothingUp) {
   constexpr int kRequests = 32;
   const std::string rows = std::string(5997, 'x') + "\t\t\n";
-  engine([&](const HttpCall& call) {
+  add_engine([&](const HttpCall& call) {
     if (call.method == "POST") return served(rows, 8);
     return reply(200, {{"X-Page", call.path.substr(call.path.size() - 1)}}, rows);
   });
@@ -201,7 +201,7 @@
 }
 
 TEST_F(Stopping, SignalsInSeriesChangeNothing) {
-  engine([](const HttpCall& call) { return answer_with(EngineFault::kNone, call); });
+  add_engine([](const HttpCall& call) { return answer_with(EngineFault::kNone, call); });
   start_with_deadline(milliseconds(500));
   ProbeClient client(controller->address(), "lookup", deadline);
   std::this_thread::sleep_for(kLoadTimeBeforeShutdown);
@@ -224,7 +224,7 @@
 // Until the program has blocked its signals, SIGTERM kills it as it would any process; from then on it is a
 // planned stop.
 TEST_F(Stopping, ASignalDuringTheStartEndsItInTime) {
-  engine(serve_all);
+  add_engine(serve_all);
   deadline = milliseconds(100);
   options.settings = settings_with_deadline(deadline);
   options.change_log = change_log.address();
@@ -232,7 +232,7 @@
       (std::filesystem::temp_directory_path() / ("orchidgw-shutdown-" + std::to_string(::getpid()) + ".json"))
           .string();
   for (int delay = 0; delay < 40; delay += 2) {
-    std::ofstream(path) << config_of(options);
+    std::ofstream(path) << make_config_json(options);
     ControllerProcess starting({{"BALANCER_CONFIG", path}});
     std::this_thread::sleep_for(milliseconds(delay));
     const Shutdown shutdown = shut_down(starting, deadline);
@@ -248,7 +248,7 @@
 // before the stop.
 TEST_F(Stopping, ASignalWhileTheProcessStandsStillCountsFromThen) {
   constexpr milliseconds kStoppedTime{400};
-  engine([](const HttpCall& call) { return answer_with(EngineFault::kNone, call); });
+  add_engine([](const HttpCall& call) { return answer_with(EngineFault::kNone, call); });
   start_with_deadline(milliseconds(500));
   ProbeClient client(controller->address(), "lookup", deadline);
   std::this_thread::sleep_for(kLoadTimeBeforeShutdown);
@@ -266,7 +266,7 @@
 // Idle clients take all places: a client that has a place and sends requests is served, and clients that wait
 // for a place do not delay the stop.
 TEST_F(Stopping, AFullHouseHoldsNothingUp) {
-  engine([](const HttpCall& call) { return answer_with(EngineFault::kNone, call); });
+  add_engine([](const HttpCall& call) { return answer_with(EngineFault::kNone, call); });
   options.sockets = 60;
   start_with_deadline(milliseconds(500));
   ProbeClient active(controller->address(), "lookup", deadline);
@@ -282,7 +282,7 @@
 // An attempt that may have run is still in flight at the end: its request has to fail, because a refusal
 // would say that a retry is harmless.
 TEST_F(Stopping, WhatMayHaveRunFailsAndIsNotRefused) {
-  engine([](const HttpCall& call) { return answer_with(EngineFault::kHangs, call); });
+  add_engine([](const HttpCall& call) { return answer_with(EngineFault::kHangs, call); });
   start_with_deadline(milliseconds(10'000));
   FrontClient client(controller->address());
   client.invoke(1, {{"service", "once"}, {"allow", "10000"}});
--- a/tests/integration/stepped_clock_test.cpp
+++ b/tests/integration/stepped_clock_test.cpp
@@ -66,13 +66,13 @@
   std::atomic<int> lookups_to_serve{0};
   std::mutex mutex;
   std::vector<Clock::time_point> starts_of_load;
-  faults::FaultSwitch faults;
+  faults::FaultInjector faults;
 };
 
 // The incident: after the repeat window has ended, the engine ends the attempt with an error that does not
 // say whether the query took effect.
 TEST_F(SteppedClock, AKeyedQueryIsNotRepeatedAfterItsWindowThoughTheWallClockWentBack) {
-  HttpStandIn& only_engine = engine([this](const HttpCall& call) {
+  HttpStandIn& only_engine = add_engine([this](const HttpCall& call) {
     if (call.method == "DELETE") return reply(204);
     return window_is_over ? reply(500) : pending_after_hold();
   });
@@ -89,7 +89,7 @@
 }
 
 TEST_F(SteppedClock, AnAnswerIsGivenByTheDeadlineThoughTheWallClockWentBack) {
-  HttpStandIn& only_engine = engine(
+  HttpStandIn& only_engine = add_engine(
       [](const HttpCall& call) { return call.method == "DELETE" ? reply(204) : pending_after_hold(); });
   start_with_faults();
   FrontClient client(controller->address());
@@ -104,9 +104,9 @@
 // The event loop's wait is interrupted while the wall clock goes back. The change log refuses connections and
 // the engine is silent, so that only timers wake the loop up.
 TEST_F(SteppedClock, TimersFireThoughTheLoopsWaitIsInterruptedAsTheWallClockGoesBack) {
-  HttpStandIn& only_engine = engine([](const HttpCall&) {
+  HttpStandIn& only_engine = add_engine([](const HttpCall&) {
     HttpReply silent;
-    silent.way = HttpReply::Way::kSilent;
+    silent.behavior = HttpReply::Behavior::kSilent;
     return silent;
   });
   options.change_log = "127.0.0.1:2";  // nobody listens there
@@ -143,7 +143,7 @@
     if (call.method == "GET" && !is_load && lookups_to_serve-- > 0) return served("a\tb\tc\n");
     return call.method == "GET" ? pending_after_hold() : reply(202);
   };
-  HttpStandIn& first = engine(script);
+  HttpStandIn& first = add_engine(script);
   HttpStandIn second(script);
   options.sockets = kSockets;
   start_with_faults();
@@ -151,7 +151,7 @@
   client.invoke(1, load("8000", kEffortOverdueAfter1300Ms));
   ASSERT_TRUE(first.wait_for("POST", "/v2/q"));
   const auto sent = Clock::now();
-  change_log.tell(member("s-second", second.address()));
+  change_log.publish(member_json("s-second", second.address()));
   ASSERT_TRUE(controller->wait_for_counter("list.changes", 2));
   const auto lookup = [&](int tag) { client.invoke(tag, {{"allow", "8000"}, {"effort", "2500"}}); };
   for (int tag = 2; tag <= kStartsAtOnce; ++tag) lookup(tag);
--- a/tests/keeper/fleet_simulation.h
+++ b/tests/keeper/fleet_simulation.h
@@ -61,8 +61,8 @@
     options.seed = random_();
     options.election_ms = static_cast<unsigned>(shape_.terms.term / 4'000);
     options.heartbeat_ms = static_cast<unsigned>(shape_.terms.term / 24'000);
-    options.compact_after = 24;
-    options.kept_behind = 8;
+    options.snapshot_threshold = 24;
+    options.snapshot_trailing = 8;
     at.keeper = std::make_unique<keeper::Keeper>(options, *at.store, *at.role, now_);
     at.floor.emplace(options.id, options.voters, now_, 2 * static_cast<TimeUs>(options.election_ms) * 1'000);
   }
@@ -106,9 +106,9 @@
 
   TimeUs now() const { return now_; }
   // The first invariant that was violated, as a text; empty: none. A run stops there.
-  const std::string& overdrawn() const { return overdrawn_; }
+  const std::string& violation() const { return overdrawn_; }
   bool member_lives(std::size_t m) const { return members_[m].role.has_value(); }
-  const budget::Holder& holder(std::size_t m) const { return members_[m].role->holder(); }
+  const budget::LeaseHolder& holder(std::size_t m) const { return members_[m].role->holder(); }
   std::size_t keepers() const { return keepers_.size(); }
   std::size_t members() const { return members_.size(); }
   std::uint64_t messages() const { return messages_; }
@@ -125,7 +125,7 @@
   }
 
   // True: all parts but the reserve are leased to running members.
-  bool all_in_use() const {
+  bool fully_leased() const {
     for (std::size_t a = 0; a < shape_.terms.allowances.size(); ++a) {
       budget::Parts sum = 0;
       for (const Member& m : members_)
@@ -141,7 +141,7 @@
     std::unique_ptr<store::MemoryStore> store;
     std::unique_ptr<KeeperRole> role;
     std::unique_ptr<keeper::Keeper> keeper;
-    std::optional<recovery::VoteFloor> floor;
+    std::optional<recovery::VoteGuard> floor;
     TimeUs paused_until = 0;
     bool led = false;
     TimeUs commit_takes = 0;
@@ -160,7 +160,7 @@
   };
 
   void send(std::size_t from, std::size_t to, const Message& message, TimeUs commit_time = 0) {
-    const std::string bytes = thrift::write_fleet(message);
+    const std::string bytes = thrift::encode_fleet_message(message);
     ++messages_;
     bytes_ += bytes.size();
     if (cut_links_[{from, to}] || random_() % 64 == 0) return;  // some messages are always lost
@@ -172,7 +172,7 @@
   }
 
   void deliver(const InFlight& in_flight) {
-    const auto message = thrift::read_fleet(std::string_view(in_flight.bytes).substr(4));
+    const auto message = thrift::decode_fleet_message(std::string_view(in_flight.bytes).substr(4));
     if (!message) {  // a message of the program itself must be readable
       overdrawn_ = "a message of " + std::to_string(in_flight.bytes.size()) + " bytes that can't be read";
       return;
@@ -181,18 +181,18 @@
       Keeper& k = keepers_[in_flight.to];
       if (!k.keeper) return;
       const auto* log = std::get_if<LogMessage>(&*message);
-      if (log != nullptr && k.floor->lets(*log, now_)) k.keeper->receive(*log);
-      if (const auto* ask = std::get_if<budget::Ask>(&*message))
-        k.role->asked(*k.keeper, in_flight.from, *ask);
-      if (const auto* ask = std::get_if<promises::KeyAsk>(&*message))
-        k.role->asked(*k.keeper, in_flight.from, *ask);
+      if (log != nullptr && k.floor->allows(*log, now_)) k.keeper->receive(*log);
+      if (const auto* ask = std::get_if<budget::LeaseRequest>(&*message))
+        k.role->on_request(*k.keeper, in_flight.from, *ask);
+      if (const auto* ask = std::get_if<promises::KeyRequest>(&*message))
+        k.role->on_request(*k.keeper, in_flight.from, *ask);
       return;
     }
     Member& m = members_[in_flight.to - keepers_.size()];
     if (!m.role) return;
-    if (const auto* grant = std::get_if<GrantTold>(&*message)) m.role->told(now_, *grant);
-    if (const auto* redirect = std::get_if<Elsewhere>(&*message)) m.role->told(now_, *redirect);
-    if (const auto* told = std::get_if<promises::KeyTold>(&*message))
+    if (const auto* grant = std::get_if<GrantReply>(&*message)) m.role->on_reply(now_, *grant);
+    if (const auto* redirect = std::get_if<Redirect>(&*message)) m.role->on_reply(now_, *redirect);
+    if (const auto* told = std::get_if<promises::KeyReply>(&*message))
       handle_key_results(in_flight.to - keepers_.size(), m.keys->answered(now_, *told));
   }
 
@@ -222,7 +222,8 @@
       const std::size_t other = id - 1;
       const bool reachable =
           keepers_[other].keeper && !is_paused(other) && !cut_links_[{k, other}] && !cut_links_[{other, k}];
-      if (reachable && random_() % 8 == 0) keepers_[k].floor->told(id, keepers_[other].keeper->standing());
+      if (reachable && random_() % 8 == 0)
+        keepers_[k].floor->on_greeting(id, keepers_[other].keeper->log_progress());
     }
   }
 
@@ -232,16 +233,16 @@
     exchange_greetings(k);
     const int commits = at.disk.commits;
     at.keeper->advance(now_);
-    at.keeper->settle();
+    at.keeper->flush();
     at.role->run(now_, *at.keeper);
-    at.keeper->settle();
+    at.keeper->flush();
     at.role->run(now_, *at.keeper);
     if (at.keeper->leads() && !at.led) ++leaders_;
     at.led = at.keeper->leads();
     const TimeUs commit_time = (at.disk.commits - commits) * at.commit_takes;
     if (commit_time > 0) at.paused_until = now_ + commit_time;
     for (const LogMessage& message : at.keeper->take_outbox())
-      if (at.floor->lets(message, now_)) send(k, message.to - 1, message, commit_time);
+      if (at.floor->allows(message, now_)) send(k, message.to - 1, message, commit_time);
     for (const auto& reply : at.role->take_replies())
       send(k, reply.link, message_of(reply.answer), commit_time);
     if (!at.keeper->failure().empty()) {  // restarted on the same store, as the program does
@@ -253,11 +254,11 @@
   void step_member(std::size_t m) {
     Member& at = members_[m];
     const std::size_t controller = keepers_.size() + m;
-    if (at.role && !is_paused(controller) && shape_.terms.longest_rest > 0) step_keys(m);
+    if (at.role && !is_paused(controller) && shape_.terms.longest_key_hold > 0) step_keys(m);
     if (!at.role || is_paused(controller) || !at.role->due(now_) || at.role->holder().left()) return;
     const std::size_t n = at.role->holder().terms().allowances.size();
-    const budget::Ask ask = at.role->ask(now_, std::vector<budget::Parts>(n, at.demand), {});
-    send(controller, at.role->asks() - 1, ask);
+    const budget::LeaseRequest ask = at.role->ask(now_, std::vector<budget::Parts>(n, at.demand), {});
+    send(controller, at.role->keeper_to_ask() - 1, ask);
   }
 
   // Each member requests one of a few keys now and then. A query whose key is granted is sent at once and may
@@ -265,29 +266,30 @@
   void step_keys(std::size_t m) {
     Member& at = members_[m];
     at.keys->set_term(shape_.terms.term);
-    if (random_() % 40 == 0 && at.role->holder().leased(now_) && !at.keys->stuck(now_)) {
+    if (random_() % 40 == 0 && at.role->holder().leased(now_) && !at.keys->keepers_unresponsive(now_)) {
       const std::uint64_t query = ++last_query_;
       at.wants[query] = "key " + std::to_string(random_() % (10 * members_.size()));
-      at.keys->want(now_, query, {query, at.wants[query], shape_.terms.longest_rest});
+      at.keys->want(now_, query, {query, at.wants[query], shape_.terms.longest_key_hold});
     }
-    handle_key_results(m, at.keys->given_up(now_));
-    while (const auto ask = at.keys->next(now_)) send(keepers_.size() + m, at.role->asks() - 1, *ask);
+    handle_key_results(m, at.keys->take_timed_out(now_));
+    while (const auto ask = at.keys->next(now_))
+      send(keepers_.size() + m, at.role->keeper_to_ask() - 1, *ask);
   }
 
   void handle_key_results(std::size_t m, const std::vector<promises::KeyHolder::Verdict>& verdicts) {
     Member& at = members_[m];
     for (const auto& verdict : verdicts) {
       const auto node = at.wants.extract(verdict.ticket);
-      if (verdict.told == promises::Told::kRests) ++keys_refused_;
-      if (verdict.told != promises::Told::kGiven) continue;
+      if (verdict.result == promises::KeyResult::kHeld) ++keys_refused_;
+      if (verdict.result != promises::KeyResult::kGranted) continue;
       const std::string& key = node.mapped();
       if (random_() % 4 == 0) {  // it could not be sent
-        at.keys->let_go({verdict.ticket, key});
+        at.keys->release({verdict.ticket, key});
         continue;
       }
       ++keys_sent_;
       const auto before = sent_at_.find(key);
-      if (before != sent_at_.end() && now_ - before->second < shape_.terms.longest_rest)
+      if (before != sent_at_.end() && now_ - before->second < shape_.terms.longest_key_hold)
         overdrawn_ = key + " ran twice within " + std::to_string(now_ - before->second) + " us";
       sent_at_[key] = now_;
     }
@@ -331,7 +333,7 @@
   out.terms.largest = members + 2;
   out.terms.term = 3'000'000;
   out.terms.drift_ppm = 1'000;
-  out.terms.longest_rest = 4'000'000;
+  out.terms.longest_key_hold = 4'000'000;
   const budget::Parts each = 100'000 / out.terms.largest;
   out.terms.allowances = {{"cpu/a", 1'000'000, 2 * each, 50'000, each},
                           // The parts set aside have to fit, as the program requires of its own file.
--- a/tests/keeper/simulation_test.cpp
+++ b/tests/keeper/simulation_test.cpp
@@ -81,16 +81,16 @@
     FleetSimulation fleet(fleet_shape(keepers, members), seed);
     fleet.run(3 * kSecond);
     for (int faults = 0; faults < 8; ++faults) inject_fault(fleet, random);
-    ASSERT_EQ(fleet.overdrawn(), "") << "seed " << seed;
+    ASSERT_EQ(fleet.violation(), "") << "seed " << seed;
     fleet.heal();
     for (std::size_t i = 0; i < fleet.keepers(); ++i) fleet.start_keeper(i), fleet.fail_disk(i, 0);
     for (std::size_t i = 0; i < fleet.members(); ++i)
       if (!fleet.member_lives(i) || fleet.holder(i).left()) fleet.start_member(i);
     // Pauses end within 6 s and old leases within a term; then everything is leased out again.
     const TimeUs until = fleet.now() + 20 * kSecond;
-    while (fleet.now() < until && fleet.overdrawn().empty() && !fleet.all_in_use()) fleet.run(100'000);
-    ASSERT_EQ(fleet.overdrawn(), "") << "seed " << seed;
-    EXPECT_TRUE(fleet.all_in_use()) << "seed " << seed;
+    while (fleet.now() < until && fleet.violation().empty() && !fleet.fully_leased()) fleet.run(100'000);
+    ASSERT_EQ(fleet.violation(), "") << "seed " << seed;
+    EXPECT_TRUE(fleet.fully_leased()) << "seed " << seed;
     runs_with_elections += fleet.leaders() > 1 ? 1 : 0;
     keys_sent += fleet.keys_sent(), keys_refused += fleet.keys_refused();
   }
@@ -106,7 +106,7 @@
 TEST(Simulation, ALeaderThatDiesBeforeItAnswersLeavesNothingUncounted) {
   FleetSimulation fleet(fleet_shape(3, 5), 7);
   fleet.run(10 * kSecond);
-  ASSERT_TRUE(fleet.all_in_use());
+  ASSERT_TRUE(fleet.fully_leased());
   for (int n = 0; n < 12; ++n) {
     const int leader = fleet.leads();
     ASSERT_GE(leader, 0);
@@ -119,9 +119,9 @@
     fleet.heal();
     fleet.start_keeper(static_cast<std::size_t>(leader));
     fleet.run(4 * kSecond);
-    ASSERT_EQ(fleet.overdrawn(), "") << n;
+    ASSERT_EQ(fleet.violation(), "") << n;
   }
-  EXPECT_TRUE(fleet.all_in_use());
+  EXPECT_TRUE(fleet.fully_leased());
 }
 
 // Without a majority for a minute all leases end and only the cut-off parts are usable; afterwards everything
@@ -129,7 +129,7 @@
 TEST(Simulation, WithoutAMajorityLeasesEndAndAfterItAllIsDividedAgain) {
   FleetSimulation fleet(fleet_shape(3, 8), 11);
   fleet.run(10 * kSecond);
-  ASSERT_TRUE(fleet.all_in_use());
+  ASSERT_TRUE(fleet.fully_leased());
   fleet.kill_keeper(0);
   fleet.kill_keeper(1);
   fleet.run(60 * kSecond, 20'000);
@@ -139,8 +139,8 @@
   }
   fleet.start_keeper(0);
   fleet.run(10 * kSecond);
-  EXPECT_TRUE(fleet.all_in_use());
-  EXPECT_EQ(fleet.overdrawn(), "");
+  EXPECT_TRUE(fleet.fully_leased());
+  EXPECT_EQ(fleet.violation(), "");
 }
 
 // A commit takes longer than a member waits for a reply. Guards against members that repeat their requests
@@ -149,16 +149,16 @@
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
     FleetSimulation fleet(fleet_shape(3, 8), seed);
     fleet.run(10 * kSecond);
-    ASSERT_TRUE(fleet.all_in_use());
+    ASSERT_TRUE(fleet.fully_leased());
     for (std::size_t k = 0; k < 3; ++k) fleet.slow_disk(k, 250'000);
     fleet.run(20 * kSecond);
     int leased = 0;
     for (std::size_t m = 0; m < fleet.members(); ++m) leased += fleet.holder(m).leased(fleet.now()) ? 1 : 0;
     EXPECT_GE(leased, 7) << "seed " << seed;
-    EXPECT_EQ(fleet.overdrawn(), "") << "seed " << seed;
+    EXPECT_EQ(fleet.violation(), "") << "seed " << seed;
     fleet.heal();
     fleet.run(10 * kSecond);
-    EXPECT_TRUE(fleet.all_in_use()) << "seed " << seed;
+    EXPECT_TRUE(fleet.fully_leased()) << "seed " << seed;
   }
 }
 
@@ -166,17 +166,17 @@
 TEST(Simulation, MostOf300MembersRestartWithinTenSeconds) {
   FleetSimulation fleet(fleet_shape(3, 300), 13);
   fleet.run(12 * kSecond);
-  ASSERT_TRUE(fleet.all_in_use());
+  ASSERT_TRUE(fleet.fully_leased());
   for (std::size_t m = 9; m < fleet.members(); ++m) {
     fleet.kill_member(m);
     fleet.start_member(m);
     if (m % 3 == 0) fleet.run(100'000);
   }
-  ASSERT_EQ(fleet.overdrawn(), "");
+  ASSERT_EQ(fleet.violation(), "");
   const TimeUs until = fleet.now() + 15 * kSecond;
-  while (fleet.now() < until && !fleet.all_in_use()) fleet.run(200'000);
-  EXPECT_TRUE(fleet.all_in_use());
-  EXPECT_EQ(fleet.overdrawn(), "");
+  while (fleet.now() < until && !fleet.fully_leased()) fleet.run(200'000);
+  EXPECT_TRUE(fleet.fully_leased());
+  EXPECT_EQ(fleet.violation(), "");
 }
 
 }  // namespace
--- a/tests/keeper/store_test.cpp
+++ b/tests/keeper/store_test.cpp
@@ -33,10 +33,10 @@
     store.commit();
     store.set_term(4);
     store.append(4, {{4, 1, "never committed"}});
-    EXPECT_TRUE(store.waiting());
+    EXPECT_TRUE(store.has_pending_writes());
   }
   LmdbStore store(folder, kBytes);
-  const Stored found = store.load();
+  const StoredLog found = store.load();
   EXPECT_EQ(found.term, 3U);
   EXPECT_EQ(found.vote, 2U);
   EXPECT_EQ(found.first, 1U);
@@ -59,7 +59,7 @@
   store.append(291, {{2, 1, "other"}});
   store.put_snapshot({280, 1, 1, "1 1\n", "state"}, 260);
   store.commit();
-  const Stored found = store.load();
+  const StoredLog found = store.load();
   EXPECT_EQ(found.first, 261U);
   ASSERT_EQ(found.entries.size(), 31U);
   EXPECT_EQ(found.entries.back(), (StoredEntry{2, 1, "other"}));
@@ -164,7 +164,7 @@
   write_sample(folder);
   const std::string file = folder + "/data.mdb";
   const std::uintmax_t size = std::filesystem::file_size(file);
-  const Stored intact = LmdbStore(folder, kBytes).load();
+  const StoredLog intact = LmdbStore(folder, kBytes).load();
   const auto load = [&] {
     try {
       LmdbStore store(folder, kBytes);
--- a/tests/limits/bad_files_test.cpp
+++ b/tests/limits/bad_files_test.cpp
@@ -313,7 +313,7 @@
   for (const BadFile& file : files) {
     SCOPED_TRACE(file.name);
     EXPECT_TRUE(names.insert(file.name).second);
-    EXPECT_EQ(faults_in(whole_file(file.body), deployment()), file.faults);
+    EXPECT_EQ(faults_in(operator_file_text(file.body), test_settings()), file.faults);
   }
 }
 
@@ -326,24 +326,24 @@
 }
 
 TEST(BadFiles, CopiesWhereTheSettingsForbidTwoInFlight) {
-  Settings settings = deployment();
+  Settings settings = test_settings();
   settings.limits.second_copies = false;
   EXPECT_EQ(
-      faults_in(whole_file(route_file("class: lookup", "  second_copy: {after: 1s}\n")), settings),
+      faults_in(operator_file_text(route_file("class: lookup", "  second_copy: {after: 1s}\n")), settings),
       std::vector<std::string>{"f:5:16: routes[0].second_copy: the settings forbid two attempts in flight"});
 }
 
 TEST(BadFiles, WithoutAVersionOrOfAnother) {
-  EXPECT_EQ(faults_in("defaults: {attempts: 1}\n...\n", deployment()),
+  EXPECT_EQ(faults_in("defaults: {attempts: 1}\n...\n", test_settings()),
             std::vector<std::string>{"f:1:1: version: missing"});
-  EXPECT_EQ(faults_in("version: 2\n...\n", deployment()),
+  EXPECT_EQ(faults_in("version: 2\n...\n", test_settings()),
             std::vector<std::string>{"f:1:10: version: this program reads version 1 alone"});
 }
 
 TEST(BadFiles, EmptyOrHalfWritten) {
   for (const std::string text :
        {"", "version: 1\n", "version: 1\ndefaults:\n  attempts: 2\n", "version: 1\n.."}) {
-    const auto faults = faults_in(text, deployment());
+    const auto faults = faults_in(text, test_settings());
     ASSERT_EQ(faults.size(), 1U) << text;
     EXPECT_NE(faults[0].find("half a file: the line '...' at its end is missing"), std::string::npos)
         << faults[0];
@@ -353,14 +353,14 @@
 // Guards against a truncated file that passes for a valid one.
 TEST(BadFiles, NoPrefixOfAGoodFileIsTaken) {
   const std::string valid =
-      whole_file("defaults:\n  attempts: 2\n" + route_file("class: lookup", "  timeout: 2s\n"));
-  ASSERT_TRUE(faults_in(valid, deployment()).empty());
+      operator_file_text("defaults:\n  attempts: 2\n" + route_file("class: lookup", "  timeout: 2s\n"));
+  ASSERT_TRUE(faults_in(valid, test_settings()).empty());
   for (std::size_t n = 0; n + 1 < valid.size(); ++n)
-    EXPECT_FALSE(faults_in(valid.substr(0, n), deployment()).empty()) << n;
+    EXPECT_FALSE(faults_in(valid.substr(0, n), test_settings()).empty()) << n;
 }
 
 TEST(BadFiles, ThatAreNoText) {
-  const auto first_fault = [](const std::string& text) { return faults_in(text, deployment()).at(0); };
+  const auto first_fault = [](const std::string& text) { return faults_in(text, test_settings()).at(0); };
   EXPECT_EQ(first_fault("version: 1\nlog: \xff\n...\n"), "f:2:6: not a text in UTF-8");
   EXPECT_EQ(first_fault("version: 1\n\xc0\xaf\n...\n"), "f:2:1: not a text in UTF-8");
   EXPECT_EQ(first_fault("version: 1\n\xed\xa0\x80\n...\n"), "f:2:1: not a text in UTF-8");
@@ -372,8 +372,8 @@
   std::string body = "routes:\n";
   for (int i = 0; i < 4; ++i)
     body += "- {name: r" + std::to_string(i) + ", match: {table: t" + std::to_string(i) + "}}\n";
-  const auto read = operator_file::read_operator_file(whole_file(body));
-  const auto faults = check(deployment(), read.file.limits, 3);
+  const auto read = operator_file::read_operator_file(operator_file_text(body));
+  const auto faults = check(test_settings(), read.file.limits, 3);
   ASSERT_EQ(faults.size(), 1U);
   EXPECT_EQ(operator_file::fault_line("f", faults[0]),
             "f:6:3: routes: more routes than the memory limit allows: 3 at most");
@@ -387,7 +387,7 @@
     for (int i = 0; i < 9; ++i) body += std::string(i > 0 ? ", *" : "*") + static_cast<char>(c - 1);
     body += "]\n";
   }
-  EXPECT_EQ(faults_in(whole_file(body), deployment()),
+  EXPECT_EQ(faults_in(operator_file_text(body), test_settings()),
             std::vector<std::string>{"f:2:4: anchors are not taken"});
 }
 
--- a/tests/limits/limiter_test.cpp
+++ b/tests/limits/limiter_test.cpp
@@ -11,7 +11,7 @@
 
 class LimiterTest : public ::testing::Test {
  protected:
-  void activate_file(const std::string& body) { limiter.put_in_force(now, limits_of(body, settings)); }
+  void activate_file(const std::string& body) { limiter.activate(now, limits_of(body, settings)); }
 
   Verdict admit(QueryId id, int c = 0, TimeUs budget = 5 * kSecond) {
     return limiter.admit(now, {id, c, "acme", "sales_1.orders", c == 2, budget});
@@ -21,9 +21,9 @@
     std::vector<std::string> out;
     while (limiter.next_due() && *limiter.next_due() <= until) {
       now = std::max(now, *limiter.next_due());
-      const auto release = limiter.next_release(now);
+      const auto release = limiter.next_ended_wait(now);
       if (!release) continue;
-      const bool in = release->verdict.kind == Kind::kLetIn;
+      const bool in = release->verdict.kind == Kind::kAdmit;
       out.push_back(std::to_string(release->id) +
                     (in ? " in" : std::string(" ") + name_of(release->verdict.reason)) + " at " +
                     std::to_string((now - kStart) / kMs));
@@ -32,31 +32,31 @@
     return out;
   }
 
-  Settings settings = deployment();
+  Settings settings = test_settings();
   Limiter limiter{settings, 1};
   TimeUs now = kStart;
 };
 
 TEST_F(LimiterTest, WithoutAFileItKeepsNothing) {
-  EXPECT_EQ(admit(1).kind, Kind::kLetIn);
-  EXPECT_EQ(limiter.pass_of(1), nullptr);
-  EXPECT_EQ(limiter.under_limits(), 0U);
-  EXPECT_EQ(limiter.time_for(1, 7 * kSecond), 7 * kSecond);
+  EXPECT_EQ(admit(1).kind, Kind::kAdmit);
+  EXPECT_EQ(limiter.query_limits(1), nullptr);
+  EXPECT_EQ(limiter.tracked_query_count(), 0U);
+  EXPECT_EQ(limiter.effective_timeout(1, 7 * kSecond), 7 * kSecond);
 }
 
 TEST_F(LimiterTest, HoldsByTheRateAndLetsInInTurn) {
   activate_file(
       "routes:\n- name: r\n  match: {class: lookup}\n  rate: {per_second: 10, burst: 2}\n  longest_hold: "
       "450ms\n");
-  EXPECT_EQ(admit(1).kind, Kind::kLetIn);
-  EXPECT_EQ(admit(2).kind, Kind::kLetIn);
+  EXPECT_EQ(admit(1).kind, Kind::kAdmit);
+  EXPECT_EQ(admit(2).kind, Kind::kAdmit);
   for (QueryId id = 3; id <= 6; ++id) EXPECT_EQ(admit(id).kind, Kind::kWait) << id;
   // Its token would come after its longest hold: it is refused at once, with a retry-after up to that token.
   const Verdict late = admit(7);
   EXPECT_EQ(late.kind, Kind::kRefuse);
   EXPECT_EQ(late.reason, Reason::kRate);
   EXPECT_EQ(late.retry_after, 500 * kMs);     // the settings' maximum
-  EXPECT_EQ(admit(8, 1).kind, Kind::kLetIn);  // another route
+  EXPECT_EQ(admit(8, 1).kind, Kind::kAdmit);  // another route
   const std::vector<std::string> in = {"3 in at 100", "4 in at 200", "5 in at 300", "6 in at 400"};
   EXPECT_EQ(ended_waits_until(kStart + kSecond), in);
   EXPECT_EQ(limiter.waiting(), 0U);
@@ -69,12 +69,12 @@
   EXPECT_EQ(admit(3).kind, Kind::kWait);
   EXPECT_EQ(admit(4).kind, Kind::kWait);
   EXPECT_TRUE(ended_waits_until(kStart + 300 * kMs).empty());
-  limiter.over(now, 1);
+  limiter.query_ended(now, 1);
   EXPECT_EQ(ended_waits_until(kStart + 300 * kMs), std::vector<std::string>{"3 in at 300"});
   EXPECT_EQ(ended_waits_until(kStart + 2 * kSecond), std::vector<std::string>{"4 held_too_long at 1000"});
-  limiter.over(now, 2);
-  limiter.over(now, 3);
-  EXPECT_EQ(limiter.under_limits(), 0U);
+  limiter.query_ended(now, 2);
+  limiter.query_ended(now, 3);
+  EXPECT_EQ(limiter.tracked_query_count(), 0U);
 }
 
 TEST_F(LimiterTest, ALineHasItsBound) {
@@ -83,9 +83,9 @@
   EXPECT_EQ(admit(2).kind, Kind::kWait);
   EXPECT_EQ(admit(3).kind, Kind::kWait);
   const Verdict full = admit(4);
-  EXPECT_EQ(full.reason, Reason::kLineFull);
+  EXPECT_EQ(full.reason, Reason::kQueueFull);
   EXPECT_GT(full.retry_after, 0);
-  limiter.over(now, 2);  // its client disconnected
+  limiter.query_ended(now, 2);  // its client disconnected
   EXPECT_EQ(admit(5).kind, Kind::kWait);
 }
 
@@ -125,20 +125,20 @@
   admit(2);
   for (QueryId id = 3; id < 10'000; ++id) {
     EXPECT_EQ(admit(id).kind, Kind::kWait);
-    limiter.over(now, id);
+    limiter.query_ended(now, id);
   }
   const auto states = limiter.route_states();
   EXPECT_LT(states[0]->queue.size(), 200U);
   EXPECT_EQ(states[0]->waiting, 1);
-  limiter.over(now, 1);
+  limiter.query_ended(now, 1);
   EXPECT_EQ(ended_waits_until(now + 1), std::vector<std::string>{"2 in at 0"});
 }
 
 TEST_F(LimiterTest, TheRoutesTimeoutIsTheSmaller) {
   activate_file("routes:\n- name: r\n  match: {class: lookup}\n  timeout: 2s\n");
   admit(1);
-  EXPECT_EQ(limiter.time_for(1, 5 * kSecond), 2 * kSecond);
-  EXPECT_EQ(limiter.time_for(1, 1 * kSecond), 1 * kSecond);
+  EXPECT_EQ(limiter.effective_timeout(1, 5 * kSecond), 2 * kSecond);
+  EXPECT_EQ(limiter.effective_timeout(1, 1 * kSecond), 1 * kSecond);
 }
 
 constexpr const char* kThreeAttempts =
@@ -152,9 +152,9 @@
   activate_file(kOneAttempt);
   admit(2);
   limiter.attempt_sent(now, 2);
-  EXPECT_TRUE(limiter.pass_of(1)->may_follow(now, OutcomeKind::kError, 1));
-  EXPECT_FALSE(limiter.pass_of(2)->may_follow(now, OutcomeKind::kError, 1));
-  EXPECT_EQ(limiter.forbidden(2), Reason::kAttempts);
+  EXPECT_TRUE(limiter.query_limits(1)->may_follow(now, OutcomeKind::kError, 1));
+  EXPECT_FALSE(limiter.query_limits(2)->may_follow(now, OutcomeKind::kError, 1));
+  EXPECT_EQ(limiter.retry_denial_reason(2), Reason::kMaxAttempts);
 }
 
 TEST_F(LimiterTest, BudgetsPlacesAndTokensCarryOverWithTheName) {
@@ -167,9 +167,9 @@
   limiter.attempt_sent(now, 1);
   limiter.attempt_sent(now, 1);
   activate_file(body);
-  EXPECT_NE(admit(3).kind, Kind::kLetIn);
-  EXPECT_FALSE(limiter.pass_of(2)->may_follow(now, OutcomeKind::kError, 1));
-  EXPECT_EQ(limiter.forbidden(2), Reason::kRetryShare);
+  EXPECT_NE(admit(3).kind, Kind::kAdmit);
+  EXPECT_FALSE(limiter.query_limits(2)->may_follow(now, OutcomeKind::kError, 1));
+  EXPECT_EQ(limiter.retry_denial_reason(2), Reason::kRetryBudget);
   EXPECT_EQ(limiter.route_states()[0]->under_way, 2);
 }
 
@@ -187,8 +187,8 @@
   admit(1);
   admit(2);
   activate_file("defaults: {attempts: 2}\n");
-  EXPECT_EQ(admit(3).kind, Kind::kLetIn);  // under the new file
-  limiter.over(now, 1);
+  EXPECT_EQ(admit(3).kind, Kind::kAdmit);  // under the new file
+  limiter.query_ended(now, 1);
   EXPECT_EQ(ended_waits_until(now + 1), std::vector<std::string>{"2 in at 0"});
 }
 
@@ -206,7 +206,7 @@
   admit(2, 1);  // another route
   limiter.attempt_sent(now, 2);
   limiter.attempt_sent(now, 2);
-  EXPECT_FALSE(limiter.pass_of(1)->may_follow(now, OutcomeKind::kError, 1));
+  EXPECT_FALSE(limiter.query_limits(1)->may_follow(now, OutcomeKind::kError, 1));
 }
 
 TEST_F(LimiterTest, BackOffGrowsAndIsSpread) {
@@ -216,7 +216,7 @@
   std::set<TimeUs> delays;
   for (QueryId id = 1; id <= 20; ++id) {
     admit(id);
-    const auto query_limits = limiter.pass_of(id);
+    const auto query_limits = limiter.query_limits(id);
     TimeUs most = 100 * kMs;
     for (int sent = 1; sent <= 3; ++sent) {
       limiter.attempt_sent(now, id);
@@ -235,35 +235,35 @@
 TEST_F(LimiterTest, OnlyTheStatedEndsAreTriedAgain) {
   activate_file("routes:\n- name: r\n  match: {class: lookup}\n  retry_on: [connect_failed]\n");
   admit(1);
-  EXPECT_TRUE(limiter.pass_of(1)->may_follow(now, OutcomeKind::kConnectFailed, 1));
-  EXPECT_FALSE(limiter.pass_of(1)->may_follow(now, OutcomeKind::kError, 1));
-  EXPECT_EQ(limiter.forbidden(1), Reason::kOutcome);
+  EXPECT_TRUE(limiter.query_limits(1)->may_follow(now, OutcomeKind::kConnectFailed, 1));
+  EXPECT_FALSE(limiter.query_limits(1)->may_follow(now, OutcomeKind::kError, 1));
+  EXPECT_EQ(limiter.retry_denial_reason(1), Reason::kOutcomeNotRetried);
 }
 
 TEST_F(LimiterTest, ACopyComesAfterItsDelayOnceAndNeverOfAnUnsafeClass) {
   activate_file("routes:\n- name: r\n  match: {class: lookup}\n  second_copy: {after: 200ms}\n");
   admit(1);
-  const auto query_limits = limiter.pass_of(1);
-  EXPECT_FALSE(query_limits->copy_due(now + 199 * kMs, now, 1));
-  EXPECT_TRUE(query_limits->copy_due(now + 200 * kMs, now, 1));
-  EXPECT_FALSE(query_limits->copy_due(now + 200 * kMs, now, 2));
+  const auto query_limits = limiter.query_limits(1);
+  EXPECT_FALSE(query_limits->second_copy_due(now + 199 * kMs, now, 1));
+  EXPECT_TRUE(query_limits->second_copy_due(now + 200 * kMs, now, 1));
+  EXPECT_FALSE(query_limits->second_copy_due(now + 200 * kMs, now, 2));
   const RouteQueryLimits unsafe(
-      std::make_shared<RouteLimits>(limiter.in_force()->find(0, "", "", false).operator*()),
+      std::make_shared<RouteLimits>(limiter.active_set()->find(0, "", "", false).operator*()),
       std::make_shared<RouteState>(), nullptr, nullptr, false, 1, now);
-  EXPECT_FALSE(unsafe.copy_due(now + kSecond, now, 1));
+  EXPECT_FALSE(unsafe.second_copy_due(now + kSecond, now, 1));
 }
 
 TEST_F(LimiterTest, ACopyAfterAQuantileFollowsWhatItsClassTakes) {
   activate_file(
       "routes:\n- name: r\n  match: {class: lookup}\n  second_copy: {after_quantile: 0.9, at_most: 2s}\n");
   admit(1);
-  const auto query_limits = limiter.pass_of(1);
-  EXPECT_FALSE(query_limits->copy_due(now + 7 * kSecond, now, 1));  // no latencies are known yet
+  const auto query_limits = limiter.query_limits(1);
+  EXPECT_FALSE(query_limits->second_copy_due(now + 7 * kSecond, now, 1));  // no latencies are known yet
   for (int i = 1; i <= 100; ++i) limiter.attempt_ended(now, 1, OutcomeKind::kOk, i * 10 * kMs, 0);
-  EXPECT_FALSE(query_limits->copy_due(now + 800 * kMs, now, 1));
-  EXPECT_TRUE(query_limits->copy_due(now + 1100 * kMs, now, 1));
+  EXPECT_FALSE(query_limits->second_copy_due(now + 800 * kMs, now, 1));
+  EXPECT_TRUE(query_limits->second_copy_due(now + 1100 * kMs, now, 1));
   for (int i = 1; i <= 1'000; ++i) limiter.attempt_ended(now, 1, OutcomeKind::kOk, 6 * kSecond, 0);
-  EXPECT_TRUE(query_limits->copy_due(now + 2 * kSecond, now, 1));  // bounded by at_most
+  EXPECT_TRUE(query_limits->second_copy_due(now + 2 * kSecond, now, 1));  // bounded by at_most
 }
 
 TEST_F(LimiterTest, AnAdaptiveBoundShrinksWithSlowAnswers) {
@@ -272,13 +272,13 @@
   QueryId id = 0;
   const auto admit_until_refused = [&] {
     int n = 0;
-    while (admit(++id).kind == Kind::kLetIn) ++n;
+    while (admit(++id).kind == Kind::kAdmit) ++n;
     return n;
   };
   EXPECT_EQ(admit_until_refused(), 40);
   for (int i = 0; i < 64; ++i) limiter.attempt_ended(now, 1, OutcomeKind::kOk, 100 * kMs, 100 * kMs);
   for (int i = 0; i < 640; ++i) limiter.attempt_ended(now, 1, OutcomeKind::kOk, 900 * kMs, 100 * kMs);
-  for (QueryId q = 1; q <= id; ++q) limiter.over(now, q);
+  for (QueryId q = 1; q <= id; ++q) limiter.query_ended(now, q);
   const int reduced = admit_until_refused();
   EXPECT_LT(reduced, 10);
   EXPECT_GE(reduced, 2);
--- a/tests/limits/parts_test.cpp
+++ b/tests/limits/parts_test.cpp
@@ -75,7 +75,7 @@
                              "|" + std::to_string(static_cast<int>(m.key_or_any()));
       if (seen.insert(id).second) routes.push_back(route);
     }
-    const RouteTable table(deployment(), routes);
+    const RouteTable table(test_settings(), routes);
     for (int q = 0; q < 40; ++q) {
       const int c = static_cast<int>(random() % 2);
       const std::string class_name = c == 0 ? "lookup" : "report";
@@ -102,7 +102,7 @@
 // Guards against a budget that is looser than the exact window at some position of its edges.
 TEST(RetryBudget, KeepsToTheExactSlidingWindow) {
   std::mt19937 random(11);
-  const RetryShare settings{0.2, 2, 10 * kSecond};
+  const RetryBudgetSettings settings{0.2, 2, 10 * kSecond};
   RetryBudget budget(settings);
   std::deque<TimeUs> queries, attempts;
   TimeUs now = kStart;
--- a/tests/promises/keys_test.cpp
+++ b/tests/promises/keys_test.cpp
@@ -19,7 +19,7 @@
   out.revision = 1;
   out.term = 1'000'000;
   out.drift_ppm = 20'000;
-  out.longest_rest = kRest;
+  out.longest_key_hold = kRest;
   return out;
 }
 
@@ -28,7 +28,7 @@
   KeyWorld(std::size_t holders, std::uint64_t seed) : random_(seed), holders_(holders) {
     for (std::size_t holder = 0; holder < holders; ++holder) start(holder);
     for (Keeper& keeper : keepers_) keeper.rate = rate(), keeper.table.apply({{}, true, {}});
-    lead(0);
+    become_leader(0);
   }
 
   void step() {
@@ -43,16 +43,16 @@
       case 4:
         return random_() % 4 == 0 ? start(holder) : send_asks(holder);  // the holder was killed
       case 5:
-        return random_() % 4 == 0 ? lead(random_() % 2) : propose();  // a pending entry may be lost
+        return random_() % 4 == 0 ? become_leader(random_() % 2) : propose();  // a pending entry may be lost
       case 6:
       case 7:
         return send_asks(holder);
       case 8:
       case 9:
-        return deliver(asks_, [this](const KeyAsk& ask) { keepers_[leader_].watch.asked(ask); });
+        return deliver(asks_, [this](const KeyRequest& ask) { keepers_[leader_].watch.asked(ask); });
       case 10:
       case 11:
-        return deliver(answers_, [this](const KeyTold& told) { answered(told); });
+        return deliver(answers_, [this](const KeyReply& told) { answered(told); });
       case 12:
       case 13:
         commit();
@@ -74,10 +74,10 @@
       send_asks(0);
       reliable_ = true;
       while (!asks_.empty())
-        deliver(asks_, [this](const KeyAsk& ask) { keepers_[leader_].watch.asked(ask); });
+        deliver(asks_, [this](const KeyRequest& ask) { keepers_[leader_].watch.asked(ask); });
       propose(), commit();
       const std::uint64_t before = sent;
-      while (!answers_.empty()) deliver(answers_, [this](const KeyTold& told) { answered(told); });
+      while (!answers_.empty()) deliver(answers_, [this](const KeyReply& told) { answered(told); });
       if (sent > before) return true;
       pass(90'000);
     }
@@ -90,7 +90,7 @@
  private:
   struct Keeper {
     KeyTable table;
-    KeyWatch watch;
+    KeyArbiter watch;
     double rate = 1;
   };
   struct Holder {
@@ -119,22 +119,22 @@
     holders_[holder].keys->want(holder_time(holder), query, {query, key, kRest});
   }
   void send_asks(std::size_t holder) {
-    for (const auto& verdict : holders_[holder].keys->given_up(holder_time(holder)))
+    for (const auto& verdict : holders_[holder].keys->take_timed_out(holder_time(holder)))
       holders_[holder].wants.erase(verdict.ticket);
     while (const auto ask = holders_[holder].keys->next(holder_time(holder))) asks_.push_back(*ask);
   }
   void release_unsent(std::size_t holder) {
     if (holders_[holder].unsent.empty()) return;
     const auto node = holders_[holder].unsent.extract(holders_[holder].unsent.begin());
-    holders_[holder].keys->let_go({node.key(), node.mapped()});
+    holders_[holder].keys->release({node.key(), node.mapped()});
     ++released;
   }
-  void answered(const KeyTold& told) {
+  void answered(const KeyReply& told) {
     for (std::size_t holder = 0; holder < holders_.size(); ++holder) {
       for (const auto& verdict : holders_[holder].keys->answered(holder_time(holder), told)) {
         const auto node = holders_[holder].wants.extract(verdict.ticket);
-        if (verdict.told == Told::kRests) ++refused;
-        if (verdict.told != Told::kGiven) continue;
+        if (verdict.result == KeyResult::kHeld) ++refused;
+        if (verdict.result != KeyResult::kGranted) continue;
         if (!reliable_ && random_() % 4 == 0) {
           holders_[holder].unsent.insert({verdict.ticket, node.mapped()});
           continue;
@@ -148,12 +148,12 @@
     }
   }
 
-  void lead(std::size_t keeper) {
+  void become_leader(std::size_t keeper) {
     if (pending_ && random_() % 2 == 0) commit();
     pending_.reset();
-    keepers_[leader_].watch.follow();
+    keepers_[leader_].watch.step_down();
     leader_ = keeper;
-    keepers_[keeper].watch.lead(leader_time(), keepers_[keeper].table, terms());
+    keepers_[keeper].watch.become_leader(leader_time(), keepers_[keeper].table, terms());
   }
   void propose() {
     if (pending_) return;
@@ -167,14 +167,14 @@
       const auto told = keepers_[keeper].table.apply(entry);
       if (keeper != leader_) continue;
       keepers_[keeper].watch.applied(leader_time(), keepers_[keeper].table, told, terms());
-      for (const KeyTold& one : told) answers_.push_back(one);
+      for (const KeyReply& one : told) answers_.push_back(one);
     }
   }
   // All keepers lose their disks at once: a new, empty log.
   void lose_log() {
     pending_.reset();
     for (Keeper& keeper : keepers_) keeper.table = {};
-    lead(leader_);
+    become_leader(leader_);
   }
   template <typename T, typename Take>
   void deliver(std::vector<T>& messages, Take take) {
@@ -194,8 +194,8 @@
   bool reliable_ = false;
   std::size_t leader_ = 0;
   std::optional<KeyEntry> pending_;
-  std::vector<KeyAsk> asks_;
-  std::vector<KeyTold> answers_;
+  std::vector<KeyRequest> asks_;
+  std::vector<KeyReply> answers_;
   std::map<std::string, TimeUs> sent_at_;
 };
 
@@ -217,20 +217,20 @@
   EXPECT_EQ(recovered, kSeeds);
 }
 
-KeyAsk ask_of(std::uint64_t seq, std::vector<Want> wants, std::vector<Free> free = {}) {
+KeyRequest ask_of(std::uint64_t seq, std::vector<HoldRequest> wants, std::vector<HoldRelease> free = {}) {
   return {{"c", 1}, seq, std::move(wants), std::move(free)};
 }
 
 TEST(Keys, AFurtherAttemptOfTheSameQueryBeginsAnotherRest) {
   KeyTable table;
   table.apply({{}, true, {}});
-  EXPECT_EQ(table.apply({{}, false, {ask_of(1, {{7, "k", 5}})}})[0].wants[0], Told::kGiven);
-  EXPECT_EQ(table.apply({{}, false, {ask_of(2, {{7, "k", 5}})}})[0].wants[0], Told::kGiven);
-  EXPECT_EQ(table.apply({{}, false, {ask_of(3, {{8, "k", 5}})}})[0].wants[0], Told::kRests);
+  EXPECT_EQ(table.apply({{}, false, {ask_of(1, {{7, "k", 5}})}})[0].wants[0], KeyResult::kGranted);
+  EXPECT_EQ(table.apply({{}, false, {ask_of(2, {{7, "k", 5}})}})[0].wants[0], KeyResult::kGranted);
+  EXPECT_EQ(table.apply({{}, false, {ask_of(3, {{8, "k", 5}})}})[0].wants[0], KeyResult::kHeld);
   table.apply({{1}, false, {}});  // the first attempt's hold expires
-  EXPECT_EQ(table.apply({{}, false, {ask_of(4, {{8, "k", 5}})}})[0].wants[0], Told::kRests);
+  EXPECT_EQ(table.apply({{}, false, {ask_of(4, {{8, "k", 5}})}})[0].wants[0], KeyResult::kHeld);
   table.apply({{2}, false, {}});
-  EXPECT_EQ(table.apply({{}, false, {ask_of(5, {{8, "k", 5}})}})[0].wants[0], Told::kGiven);
+  EXPECT_EQ(table.apply({{}, false, {ask_of(5, {{8, "k", 5}})}})[0].wants[0], KeyResult::kGranted);
 }
 
 // The release by a query that never held the key, or held it before, arrives while another one holds it.
@@ -240,9 +240,9 @@
   table.apply({{}, false, {ask_of(1, {{7, "k", 5}})}});
   table.apply({{}, false, {ask_of(2, {}, {{8, "k"}})}});
   table.apply({{}, false, {{{"other", 1}, 3, {}, {{7, "k"}}}}});
-  EXPECT_EQ(table.apply({{}, false, {ask_of(4, {{9, "k", 5}})}})[0].wants[0], Told::kRests);
+  EXPECT_EQ(table.apply({{}, false, {ask_of(4, {{9, "k", 5}})}})[0].wants[0], KeyResult::kHeld);
   table.apply({{}, false, {ask_of(5, {}, {{7, "k"}})}});
-  EXPECT_EQ(table.apply({{}, false, {ask_of(6, {{9, "k", 5}})}})[0].wants[0], Told::kGiven);
+  EXPECT_EQ(table.apply({{}, false, {ask_of(6, {{9, "k", 5}})}})[0].wants[0], KeyResult::kGranted);
 }
 
 // The keepers granted a key whose query has been refused since, and did not receive the release. The next
@@ -255,8 +255,8 @@
   holder.want(0, 7, {7, "k", kRest});
   table.apply({{}, false, {*holder.next(0)}});
   const TimeUs timed_out_at = terms().term / kGrantTimeoutDivisor;
-  ASSERT_EQ(holder.given_up(timed_out_at).size(), 1U);
-  holder.let_go({7, "k"});
+  ASSERT_EQ(holder.take_timed_out(timed_out_at).size(), 1U);
+  holder.release({7, "k"});
   ASSERT_EQ(holder.next(timed_out_at)->free.size(), 1U);  // this message is lost
   holder.want(timed_out_at + 1, 8, {8, "other", kRest});
   EXPECT_TRUE(holder.next(timed_out_at + 1)->free.empty());
@@ -266,7 +266,7 @@
   const auto told = table.apply({{}, false, {*request}});
   const auto results = holder.answered(timed_out_at + 3 + terms().term / 10, told[0]);
   ASSERT_EQ(results.size(), 2U);
-  EXPECT_EQ(results[1].told, Told::kGiven);
+  EXPECT_EQ(results[1].result, KeyResult::kGranted);
   holder.want(timed_out_at + terms().term, 10, {10, "k", kRest});
   EXPECT_TRUE(holder.next(timed_out_at + terms().term)->free.empty());  // the release was received
 }
@@ -276,7 +276,7 @@
   KeyHolder holder({"c", 1});
   holder.set_term(terms().term);
   constexpr std::uint64_t kMany = 700;
-  for (std::uint64_t index = 0; index < kMany; ++index) holder.let_go({index, "k" + std::to_string(index)});
+  for (std::uint64_t index = 0; index < kMany; ++index) holder.release({index, "k" + std::to_string(index)});
   const auto released_now = [&](TimeUs now) {
     std::size_t count = 0;
     while (const auto ask = holder.next(now)) {
@@ -294,13 +294,15 @@
 TEST(Keys, PastTheBoundNothingIsGivenAndWhatRestsStays) {
   KeyTable table;
   table.apply({{}, true, {}});
-  for (std::uint64_t index = 0; index < kKeysMost; ++index)
+  for (std::uint64_t index = 0; index < kMaxHeldKeys; ++index)
     table.apply({{}, false, {ask_of(index + 1, {{index, "k" + std::to_string(index), 5}})}});
-  EXPECT_EQ(table.apply({{}, false, {ask_of(90'000, {{90'000, "one more", 5}})}})[0].wants[0], Told::kNotNow);
-  EXPECT_EQ(table.apply({{}, false, {ask_of(90'001, {{1, "k1", 5}})}})[0].wants[0], Told::kGiven);
+  EXPECT_EQ(table.apply({{}, false, {ask_of(90'000, {{90'000, "one more", 5}})}})[0].wants[0],
+            KeyResult::kUnavailable);
+  EXPECT_EQ(table.apply({{}, false, {ask_of(90'001, {{1, "k1", 5}})}})[0].wants[0], KeyResult::kGranted);
   table.apply({{}, false, {ask_of(90'002, {}, {{2, "k2"}})}});
-  EXPECT_EQ(table.apply({{}, false, {ask_of(90'003, {{90'000, "one more", 5}})}})[0].wants[0], Told::kGiven);
-  EXPECT_EQ(table.rests().size(), kKeysMost);
+  EXPECT_EQ(table.apply({{}, false, {ask_of(90'003, {{90'000, "one more", 5}})}})[0].wants[0],
+            KeyResult::kGranted);
+  EXPECT_EQ(table.holds().size(), kMaxHeldKeys);
 }
 
 }  // namespace
--- a/tests/property/ladder_property_test.cpp
+++ b/tests/property/ladder_property_test.cpp
@@ -42,16 +42,16 @@
     std::vector<const Level*> levels;
     for (const Level& level : file->levels) levels.push_back(&level);
     Ladder ladder(levels, file->trial, file->changes);
-    HandSignals signals;
+    FakeSignals signals;
     std::mt19937 random(*rc::gen::arbitrary<unsigned>());
     TimeUs now = kStart;
     std::deque<TimeUs> change_times;
     TimeUs entered_at = 0;
     const auto advance = [&](TimeUs duration) {
-      const std::size_t height_before = ladder.height();
+      const std::size_t height_before = ladder.active_level_count();
       now += duration;
       const auto change = ladder.sample(now, signals);
-      const std::size_t height_after = ladder.height();
+      const std::size_t height_after = ladder.active_level_count();
       RC_ASSERT(height_after <= height_before + 1);
       RC_ASSERT(height_before == height_after || (change && !change->trial && !change->reason.empty()));
       if (height_before == height_after) return;
@@ -65,11 +65,11 @@
       if (random() % 8 == 0) signals.values[Signal::kSlowdown] = static_cast<double>(random() % 60) / 10;
       if (random() % 8 == 0) signals.values[Signal::kBuffers] = static_cast<double>(random() % 11) / 10;
       if (random() % 200 == 0) signals.values.clear();
-      advance(random() % 50 == 0 ? static_cast<TimeUs>(random() % 5'000) * kMs : kSampleEvery);
+      advance(random() % 50 == 0 ? static_cast<TimeUs>(random() % 5'000) * kMs : kSampleInterval);
     }
     signals.values = {{Signal::kSlowdown, 1}, {Signal::kBuffers, 0.1}};
-    for (int i = 0; i < 4 * 3'600 && ladder.height() > 0; ++i) advance(kSampleEvery);
-    RC_ASSERT(ladder.height() == 0U);
+    for (int i = 0; i < 4 * 3'600 && ladder.active_level_count() > 0; ++i) advance(kSampleInterval);
+    RC_ASSERT(ladder.active_level_count() == 0U);
   }));
 }
 
--- a/tests/property/limits_property_test.cpp
+++ b/tests/property/limits_property_test.cpp
@@ -68,9 +68,9 @@
 class Simulation {
  public:
   Simulation(const FileLimits& stated, bool copies_allowed, unsigned seed)
-      : stated_(stated), settings_(limits::deployment()), random_(seed) {
+      : stated_(stated), settings_(limits::test_settings()), random_(seed) {
     settings_.limits.second_copies = copies_allowed;
-    settings_.classes[5].in_order = false;  // the module rejects it; the limits still check it
+    settings_.classes[5].serial_by_key = false;  // the module rejects it; the limits still check it
     if (!copies_allowed) stated_.second_copy_ms = 0;
     reducer_ = std::make_unique<Reducer>(settings_, 1, counters_);
     EnginesChanged change;
@@ -95,8 +95,8 @@
     advance_to(now_ + 45 * kSecond);
     for (const auto& [tag, query] : queries_) RC_ASSERT(query.answers == 1);
     RC_ASSERT(reducer_->queries() == 0U);
-    RC_ASSERT(reducer_->limiter().under_limits() == 0U);
-    RC_ASSERT(counters_.taken == counters_.served + counters_.refused + counters_.failed);
+    RC_ASSERT(reducer_->limiter().tracked_query_count() == 0U);
+    RC_ASSERT(counters_.accepted_queries == counters_.served + counters_.refused + counters_.failed);
   }
 
  private:
@@ -111,7 +111,7 @@
   };
 
   void reload() {
-    const std::string text = limits::whole_file(file_text(stated_));
+    const std::string text = limits::operator_file_text(file_text(stated_));
     RC_ASSERT(limits::faults_in(text, settings_) == std::vector<std::string>{});
     const auto read = operator_file::read_operator_file(text);
     apply(LimitsChanged{std::make_shared<const limits::LimitSet>(settings_, read.file.limits, 1)});
@@ -157,7 +157,7 @@
 
   void apply(Event event) {
     for (SideEffect& effect : reducer_->apply(now_, std::move(event))) {
-      if (auto* send = std::get_if<StartCall>(&effect)) {
+      if (auto* send = std::get_if<SendCall>(&effect)) {
         on_send_call(*send);
       } else if (auto* drop = std::get_if<DropCall>(&effect)) {
         on_drop(drop->call);
@@ -166,7 +166,7 @@
       } else if (auto* refused = std::get_if<AnswerRefused>(&effect)) {
         on_answer(refused->tag, true);
       } else if (auto* failed = std::get_if<AnswerFailed>(&effect)) {
-        RC_ASSERT(!failed->unusable);
+        RC_ASSERT(!failed->invalid_request);
         on_answer(failed->tag, false);
       } else if (auto* closed = std::get_if<CloseConnection>(&effect)) {
         for (auto& [tag, query] : queries_) query.open_attempts.erase(closed->attempt);
@@ -182,20 +182,20 @@
     RC_ASSERT(!refusal || query.class_name != "once" || !query.may_have_run);
   }
 
-  void on_send_call(StartCall& send) {
+  void on_send_call(SendCall& send) {
     if (send.kind == CallKind::kStart) on_attempt(send);
     Event end;
     TimeUs end_at = now_ + 1 + static_cast<TimeUs>(random_() % 400) * kMs;
     const auto percent = random_() % 100;
     CallAnswer answer;
-    if (send.kind == CallKind::kGiveUp || send.kind == CallKind::kPriority) {
+    if (send.kind == CallKind::kCancel || send.kind == CallKind::kPriority) {
       answer.kind = Kind::kDone;
       end_at = now_ + kMs;
     } else if (percent < 55) {
       answer.kind = Kind::kServed;
       answer.pages = 1;
     } else if (percent < 70) {
-      answer.kind = Kind::kNotYet;
+      answer.kind = Kind::kPending;
       end_at = now_ + 250 * kMs;
     } else if (percent < 80) {
       answer.kind = Kind::kError;
@@ -218,12 +218,12 @@
     pending_events_.emplace(end_at, CallAnswered{send.call, std::move(answer)});
   }
 
-  void record_run(const StartCall& send, bool may_have_run) {
+  void record_run(const SendCall& send, bool may_have_run) {
     if (may_have_run && send.kind == CallKind::kStart)
       queries_.at(by_reference_.at(send.reference)).may_have_run = true;
   }
 
-  void on_attempt(const StartCall& send) {
+  void on_attempt(const SendCall& send) {
     QueryRecord& query = queries_.at(by_reference_.at(send.reference));
     ++query.started;
     ++query.attempts;
--- a/tests/recovery/disk_claim_test.cpp
+++ b/tests/recovery/disk_claim_test.cpp
@@ -14,7 +14,7 @@
 namespace {
 
 using fleet::KeeperId;
-using Verdict = DiskClaim::Verdict;
+using Verdict = RejoinGuard::Verdict;
 
 class Keepers {
  public:
@@ -43,10 +43,10 @@
 
   void greet(KeeperId from, KeeperId to) {
     if (!is_running(from)) return;
-    std::vector<KeeperId> begun;
+    std::vector<KeeperId> bootstrapped;
     if (node(from).takes_part)
-      begun.assign(claim(from).owner().begun.begin(), claim(from).owner().begun.end());
-    greetings_.push_back({from, to, begun});
+      bootstrapped.assign(claim(from).owner().bootstrapped.begin(), claim(from).owner().bootstrapped.end());
+    greetings_.push_back({from, to, bootstrapped});
   }
   void deliver(std::size_t index, bool keep_copy) {
     if (greetings_.empty()) return;
@@ -54,14 +54,14 @@
     const Greeting greeting = *it;
     if (!keep_copy) greetings_.erase(it);
     if (!is_running(greeting.to)) return;
-    claim(greeting.to).told(greeting.from, greeting.begun);
+    claim(greeting.to).on_greeting(greeting.from, greeting.bootstrapped);
     begin_if_allowed(greeting.to);
   }
   // A vote or an acknowledged entry: counts only if the receiver has a log and stores that it has received
   // it.
   void send_log_message(KeeperId from, KeeperId to) {
     if (!is_running(from) || !is_running(to) || !takes_part(from)) return;
-    claim(to).met(from);
+    claim(to).on_log_message(from);
     if (!takes_part(to)) return;
     node(to).disk.owner = claim(to).owner();
     node(from).remembered_by.insert(to);
@@ -71,20 +71,20 @@
 
  private:
   struct Node {
-    store::Stored disk;
-    std::optional<DiskClaim> claim;
+    store::StoredLog disk;
+    std::optional<RejoinGuard> claim;
     bool takes_part = false;
     std::set<KeeperId> remembered_by;
   };
   struct Greeting {
     KeeperId from, to;
-    std::vector<KeeperId> begun;
+    std::vector<KeeperId> bootstrapped;
   };
   Node& node(KeeperId id) { return nodes_[id - 1]; }
-  DiskClaim& claim(KeeperId id) { return *node(id).claim; }
+  RejoinGuard& claim(KeeperId id) { return *node(id).claim; }
 
   void begin_if_allowed(KeeperId id) {
-    if (node(id).takes_part || claim(id).verdict() != Verdict::kMay) return;
+    if (node(id).takes_part || claim(id).verdict() != Verdict::kAllowed) return;
     if (node(id).disk.empty() && !node(id).remembered_by.empty())
       fault = "keeper " + std::to_string(id) + " votes anew";
     node(id).takes_part = true;
@@ -98,7 +98,7 @@
   std::deque<Greeting> greetings_;
 };
 
-TEST(DiskClaim, NobodyVotesOnAnEmptyDiskWhoIsRemembered) {
+TEST(RejoinGuard, NobodyVotesOnAnEmptyDiskWhoIsRemembered) {
   int lost = 0;
   for (unsigned seed = 1; seed <= 3'000; ++seed) {
     std::mt19937 random(seed);
@@ -139,7 +139,7 @@
       if (a != b) keepers.greet(a, b), keepers.deliver(0, false);
 }
 
-TEST(DiskClaim, ANewFleetBeginsInWhateverOrderItComes) {
+TEST(RejoinGuard, ANewFleetBeginsInWhateverOrderItComes) {
   for (unsigned seed = 1; seed <= 200; ++seed) {
     std::mt19937 random(seed);
     Keepers keepers(3);
@@ -157,7 +157,7 @@
   }
 }
 
-TEST(DiskClaim, OneOnAnEmptyDiskThatIsKnownStaysOutAndTheOthersKeep) {
+TEST(RejoinGuard, OneOnAnEmptyDiskThatIsKnownStaysOutAndTheOthersKeep) {
   Keepers keepers(3);
   greet_all(keepers, 3);
   keepers.send_log_message(1, 2);
@@ -168,9 +168,9 @@
   EXPECT_TRUE(keepers.takes_part(2) && keepers.takes_part(3));
 }
 
-TEST(DiskClaim, AnothersStoreIsNamed) {
-  EXPECT_EQ(fault_of({"a", 1, 2, {}}, {"a", 1, 2, {1}}), "");
-  EXPECT_EQ(fault_of({"a", 1, 2, {}}, {"b", 1, 3, {}}),
+TEST(RejoinGuard, AnothersStoreIsNamed) {
+  EXPECT_EQ(ownership_error({"a", 1, 2, {}}, {"a", 1, 2, {1}}), "");
+  EXPECT_EQ(ownership_error({"a", 1, 2, {}}, {"b", 1, 3, {}}),
             "it is the store of keeper 2 of fleet a 1, not of keeper 3 of fleet b 1");
 }
 
@@ -196,7 +196,7 @@
   EXPECT_EQ(now(), "terms");
   facts.leased = true;
   EXPECT_EQ(now(), "budgets");
-  facts.settled = true;
+  facts.half_granted = true;
   EXPECT_EQ(now(), "full");
 }
 
--- a/tests/recovery/key_book_test.cpp
+++ b/tests/recovery/key_book_test.cpp
@@ -13,42 +13,42 @@
 
 constexpr TimeUs kSecond = 1'000'000;
 
-TEST(KeyBook, OnTheSameBootWhatIsLeftOfTheWindowRests) {
-  KeyBook first("boot-1", 100 * kSecond, {}, 10);
-  const store::Intent intent = first.intend("key k", 12 * kSecond, 100 * kSecond);
+TEST(IntentTracker, OnTheSameBootWhatIsLeftOfTheWindowRests) {
+  IntentTracker first("boot-1", 100 * kSecond, {}, 10);
+  const store::Intent intent = first.create_intent("key k", 12 * kSecond, 100 * kSecond);
   EXPECT_FALSE(first.may_have_run("key k", 101 * kSecond));  // a process knows its own queries
-  KeyBook second("boot-1", 105 * kSecond, {intent}, 10);
+  IntentTracker second("boot-1", 105 * kSecond, {intent}, 10);
   EXPECT_TRUE(second.may_have_run("key k", 111 * kSecond));
   EXPECT_FALSE(second.may_have_run("key other", 111 * kSecond));
   EXPECT_FALSE(second.may_have_run("key k", 112 * kSecond));
-  EXPECT_EQ(second.over(112 * kSecond), std::vector<std::uint64_t>{intent.serial});
+  EXPECT_EQ(second.take_expired(112 * kSecond), std::vector<std::uint64_t>{intent.serial});
 }
 
 // It is unknown how long the power was off, and earlier clock readings are meaningless.
-TEST(KeyBook, AfterAnotherBootTheWholeWindowRestsFromTheStartOn) {
+TEST(IntentTracker, AfterAnotherBootTheWholeWindowRestsFromTheStartOn) {
   const store::Intent intent{7, "key k", "boot-1", 900 * kSecond, 12 * kSecond};
   for (const char* boot : {"boot-2", "boot-1"}) {  // the second: a time in the future, so not of this boot
-    KeyBook book(boot, 3 * kSecond, {intent}, 10);
+    IntentTracker book(boot, 3 * kSecond, {intent}, 10);
     EXPECT_TRUE(book.may_have_run("key k", 14 * kSecond));
     EXPECT_FALSE(book.may_have_run("key k", 15 * kSecond));
-    EXPECT_GT(book.intend("key k", kSecond, 16 * kSecond).serial, 7U);
+    EXPECT_GT(book.create_intent("key k", kSecond, 16 * kSecond).serial, 7U);
   }
 }
 
-TEST(KeyBook, TheLatestOfSeveralAttemptsCountsAndTheBoundIsSaid) {
+TEST(IntentTracker, TheLatestOfSeveralAttemptsCountsAndTheBoundIsSaid) {
   const std::vector<store::Intent> found = {{1, "key k", "b", 2 * kSecond, 10 * kSecond},
                                             {2, "key k", "b", 6 * kSecond, 10 * kSecond}};
-  KeyBook book("b", 7 * kSecond, found, 2);
+  IntentTracker book("b", 7 * kSecond, found, 2);
   EXPECT_TRUE(book.full());
-  EXPECT_EQ(book.over(12 * kSecond), std::vector<std::uint64_t>{1});
+  EXPECT_EQ(book.take_expired(12 * kSecond), std::vector<std::uint64_t>{1});
   EXPECT_FALSE(book.full());
   EXPECT_TRUE(book.may_have_run("key k", 15 * kSecond));
-  EXPECT_EQ(book.over(16 * kSecond), std::vector<std::uint64_t>{2});
+  EXPECT_EQ(book.take_expired(16 * kSecond), std::vector<std::uint64_t>{2});
   EXPECT_FALSE(book.may_have_run("key k", 15 * kSecond));
 }
 
 // The process and the machine may restart at any moment: no key is sent twice within its window.
-TEST(KeyBook, NoKeyIsSentTwiceWithinItsWindowWhateverStarts) {
+TEST(IntentTracker, NoKeyIsSentTwiceWithinItsWindowWhateverStarts) {
   for (unsigned seed = 1; seed <= 500; ++seed) {
     std::mt19937 random(seed);
     TimeUs true_now = 1000 * kSecond;
@@ -60,12 +60,12 @@
     const auto boot_now = [&] { return true_now - booted_at; };
     const auto start = [&] {
       sent_by_this_process.clear();
-      return KeyBook("boot-" + std::to_string(boots), boot_now(), stored_intents, 1'000);
+      return IntentTracker("boot-" + std::to_string(boots), boot_now(), stored_intents, 1'000);
     };
-    KeyBook book = start();
+    IntentTracker book = start();
     for (int step = 0; step < 200; ++step) {
       true_now += static_cast<TimeUs>(random() % 3'000) * 1'000;
-      for (const std::uint64_t serial : book.over(boot_now()))
+      for (const std::uint64_t serial : book.take_expired(boot_now()))
         std::erase_if(stored_intents, [serial](const store::Intent& one) { return one.serial == serial; });
       if (random() % 10 == 0) {
         if (random() % 2 == 0) {  // the machine restarts, too, and is off for a while
@@ -80,7 +80,7 @@
       const auto before = sent.find(key);
       const TimeUs since = before == sent.end() ? 12 * kSecond : true_now - before->second;
       ASSERT_GE(since, 12 * kSecond) << "seed " << seed << " step " << step;
-      stored_intents.push_back(book.intend(key, 12 * kSecond, boot_now()));
+      stored_intents.push_back(book.create_intent(key, 12 * kSecond, boot_now()));
       sent[key] = true_now;
       sent_by_this_process.insert(key);
     }
--- a/tests/recovery/old_disk_test.cpp
+++ b/tests/recovery/old_disk_test.cpp
@@ -30,11 +30,11 @@
     fleet.kill_keeper(other);
     // Time for an election, the terms of earlier leases and two renewals; without the killed keeper two of
     // three run.
-    for (int n = 0; n < 30 && !(n > 4 && fleet.leads() >= 0 && fleet.all_in_use()); ++n)
+    for (int n = 0; n < 30 && !(n > 4 && fleet.leads() >= 0 && fleet.fully_leased()); ++n)
       fleet.run(kSecond / 2);
-    EXPECT_EQ(fleet.overdrawn(), "") << "seed " << seed;
+    EXPECT_EQ(fleet.violation(), "") << "seed " << seed;
     EXPECT_GE(fleet.leads(), 0) << "seed " << seed;
-    EXPECT_TRUE(fleet.all_in_use()) << "seed " << seed;
+    EXPECT_TRUE(fleet.fully_leased()) << "seed " << seed;
   }
 }
 
@@ -68,10 +68,10 @@
       fleet.run(static_cast<TimeUs>(random() % 400) * 1'000);
     }
     for (std::size_t member = 0; member < fleet.members(); ++member) fleet.start_member(member);
-    for (int round = 0; round < 40 && !fleet.all_in_use() && fleet.overdrawn().empty(); ++round)
+    for (int round = 0; round < 40 && !fleet.fully_leased() && fleet.violation().empty(); ++round)
       fleet.run(500'000);
-    ASSERT_EQ(fleet.overdrawn(), "") << "seed " << seed;
-    EXPECT_TRUE(fleet.all_in_use()) << "seed " << seed;
+    ASSERT_EQ(fleet.violation(), "") << "seed " << seed;
+    EXPECT_TRUE(fleet.fully_leased()) << "seed " << seed;
     sent += fleet.keys_sent();
   }
   EXPECT_GT(sent, 5U * kSeeds);
--- a/tests/recovery/one_copy_test.cpp
+++ b/tests/recovery/one_copy_test.cpp
@@ -8,13 +8,15 @@
 namespace {
 
 struct Input {
-  store::Stored found;
+  store::StoredLog found;
   fleet::State state;
   std::vector<fleet::KeeperId> voters = {1, 2, 3};
   fleet::FleetConfig config;
   std::string self = "c0";
   std::vector<fleet::KeeperId> lost = {2, 3};
-  OneCopy run() const { return go_on_from_one_copy(found, voters, state, config, self, lost); }
+  SingleCopyRecovery run() const {
+    return recover_from_single_copy(found, voters, state, config, self, lost);
+  }
 };
 
 Input valid_input() {
@@ -30,20 +32,20 @@
   return out;
 }
 
-TEST(OneCopy, KeepsTheKeysAndTakesNoneOfTheLostForKnown) {
-  const OneCopy copy = valid_input().run();
+TEST(SingleCopyRecovery, KeepsTheKeysAndTakesNoneOfTheLostForKnown) {
+  const SingleCopyRecovery copy = valid_input().run();
   ASSERT_EQ(copy.fault, "");
   EXPECT_EQ(copy.owner, (store::StoredOwner{"f", 8, 1, {1}}));
   EXPECT_EQ(copy.index, 42U);
   EXPECT_EQ(copy.index_term, 9U);
   EXPECT_EQ(copy.term, 10U);
   EXPECT_EQ(copy.state.ledger.terms().revision, 0U);  // as after a lost log, earlier leases must expire first
-  EXPECT_TRUE(copy.state.keys.rests().contains("key k"));
+  EXPECT_TRUE(copy.state.keys.holds().contains("key k"));
   EXPECT_FALSE(copy.state.keys.settled());
-  EXPECT_GE(copy.says.size(), 4U);
+  EXPECT_GE(copy.operator_notes.size(), 4U);
 }
 
-TEST(OneCopy, EachWayToHaveTwoLogsIsRefused) {
+TEST(SingleCopyRecovery, EachWayToHaveTwoLogsIsRefused) {
   const auto fault = [](auto modify) {
     Input input = valid_input();
     modify(input);
--- a/tests/recovery/power_loss_test.cpp
+++ b/tests/recovery/power_loss_test.cpp
@@ -49,7 +49,7 @@
     }
     // Time for the terms of earlier leases, the drift, the ramp, an election and two renewals.
     const TimeUs deadline = fleet.now() + 4 * kSecond + kRamp + 6 * kSecond;
-    while (fleet.now() < deadline && fleet.overdrawn().empty() && !fleet.all_in_use()) {
+    while (fleet.now() < deadline && fleet.violation().empty() && !fleet.fully_leased()) {
       fleet.run(50'000);
       const int leader = fleet.leads();
       if (leader < 0) continue;
@@ -59,8 +59,8 @@
       for (std::size_t allowance = 0; allowance < ledger.terms().allowances.size(); ++allowance)
         ASSERT_GE(ledger.free(allowance), 0) << "seed " << seed << " above the ramp";
     }
-    ASSERT_EQ(fleet.overdrawn(), "") << "seed " << seed;
-    EXPECT_TRUE(fleet.all_in_use()) << "seed " << seed;
+    ASSERT_EQ(fleet.violation(), "") << "seed " << seed;
+    EXPECT_TRUE(fleet.fully_leased()) << "seed " << seed;
   }
   EXPECT_GT(ramped, 20 * kSeeds);
 }
@@ -84,16 +84,16 @@
     if (keeper != late_keeper) fleet.start_keeper(keeper);
   for (std::size_t member = 0; member < 5; ++member) fleet.start_member(member);
   fleet.run(4 * kSecond + kRamp + 6 * kSecond);
-  EXPECT_TRUE(fleet.all_in_use()) << "seed " << seed;
+  EXPECT_TRUE(fleet.fully_leased()) << "seed " << seed;
   for (std::size_t member = 5; member < 10; ++member) {
     fleet.run(static_cast<TimeUs>(60 + random() % 60) * kSecond);
-    EXPECT_TRUE(fleet.all_in_use()) << "seed " << seed << " before " << member;
+    EXPECT_TRUE(fleet.fully_leased()) << "seed " << seed << " before " << member;
     fleet.start_member(member);
     if (member == 7) fleet.start_keeper(late_keeper);
   }
   fleet.run(10 * kSecond);
-  ASSERT_EQ(fleet.overdrawn(), "") << "seed " << seed;
-  EXPECT_TRUE(fleet.all_in_use()) << "seed " << seed;
+  ASSERT_EQ(fleet.violation(), "") << "seed " << seed;
+  EXPECT_TRUE(fleet.fully_leased()) << "seed " << seed;
   for (std::size_t member = 0; member < 10; ++member)
     EXPECT_TRUE(fleet.holder(member).leased(fleet.now())) << member;
 }
@@ -107,7 +107,7 @@
   shape.terms.ramp = kRamp;
   FleetSimulation fleet(shape, 3);
   fleet.run(15 * kSecond);
-  ASSERT_TRUE(fleet.all_in_use());
+  ASSERT_TRUE(fleet.fully_leased());
   for (std::size_t keeper = 0; keeper < 3; ++keeper) fleet.kill_keeper(keeper);
   for (std::size_t keeper = 0; keeper < 3; ++keeper) fleet.start_keeper(keeper);
   for (int n = 0; n < 60; ++n) {
@@ -115,7 +115,7 @@
     if (fleet.leads() < 0) continue;
     EXPECT_EQ(fleet.ledger(static_cast<std::size_t>(fleet.leads())).level(), budget::kFullLevel);
   }
-  EXPECT_TRUE(fleet.all_in_use());
+  EXPECT_TRUE(fleet.fully_leased());
 }
 
 }  // namespace
--- a/tests/recovery/vote_floor_test.cpp
+++ b/tests/recovery/vote_floor_test.cpp
@@ -17,56 +17,56 @@
   return out;
 }
 
-TEST(VoteFloor, NobodyIsVotedForUntilAllOthersHaveGreetedOrTheTimeIsOver) {
-  VoteFloor floor(1, {1, 2, 3}, 0, kPatience);
+TEST(VoteGuard, NobodyIsVotedForUntilAllOthersHaveGreetedOrTheTimeIsOver) {
+  VoteGuard floor(1, {1, 2, 3}, 0, kPatience);
   EXPECT_EQ(floor.waits_for(0), (std::vector<fleet::KeeperId>{2, 3}));
-  floor.told(2, {});
-  floor.told(1, {});  // itself, and a keeper that is no voter
-  floor.told(9, {});
+  floor.on_greeting(2, {});
+  floor.on_greeting(1, {});  // itself, and a keeper that is no voter
+  floor.on_greeting(9, {});
   EXPECT_EQ(floor.waits_for(0), (std::vector<fleet::KeeperId>{3}));
-  EXPECT_FALSE(floor.lets(request(5, {4, 9}), kPatience - 1));
-  EXPECT_FALSE(floor.lets(request(5, {4, 9}, true), kPatience - 1));
-  EXPECT_TRUE(floor.lets(request(5, {4, 9}), kPatience));
+  EXPECT_FALSE(floor.allows(request(5, {4, 9}), kPatience - 1));
+  EXPECT_FALSE(floor.allows(request(5, {4, 9}, true), kPatience - 1));
+  EXPECT_TRUE(floor.allows(request(5, {4, 9}), kPatience));
   EXPECT_TRUE(floor.waits_for(kPatience).empty());
-  floor.told(3, {});
-  EXPECT_TRUE(floor.lets(request(5, {4, 9}), 0));
+  floor.on_greeting(3, {});
+  EXPECT_TRUE(floor.allows(request(5, {4, 9}), 0));
 }
 
-TEST(VoteFloor, OneThatIsAloneVotesAtOnce) {
-  EXPECT_TRUE(VoteFloor(1, {1}, 0, kPatience).lets(request(2, {1, 1}), 0));
+TEST(VoteGuard, OneThatIsAloneVotesAtOnce) {
+  EXPECT_TRUE(VoteGuard(1, {1}, 0, kPatience).allows(request(2, {1, 1}), 0));
 }
 
-TEST(VoteFloor, WhoLacksWhatWasAgreedOnIsNeverVotedForAndWhoLacksTheRestNotYet) {
-  VoteFloor floor(1, {1, 2, 3}, 0, kPatience);
-  floor.told(2, {4, {4, 20}, {3, 12}});
-  floor.told(3, {4, {4, 15}, {3, 10}});
+TEST(VoteGuard, WhoLacksWhatWasAgreedOnIsNeverVotedForAndWhoLacksTheRestNotYet) {
+  VoteGuard floor(1, {1, 2, 3}, 0, kPatience);
+  floor.on_greeting(2, {4, {4, 20}, {3, 12}});
+  floor.on_greeting(3, {4, {4, 15}, {3, 10}});
   constexpr TimeUs kLater = 2 * kPatience;
-  EXPECT_FALSE(floor.lets(request(5, {4, 19}), kLater - 1));
-  EXPECT_TRUE(floor.lets(request(5, {4, 20}), kLater - 1));
-  EXPECT_TRUE(floor.lets(request(5, {3, 12}), kLater));
-  EXPECT_FALSE(floor.lets(request(5, {3, 11}), kLater));
-  EXPECT_FALSE(floor.lets(request(5, {2, 99}), kLater));  // longer, but of an older term: behind
-  EXPECT_FALSE(floor.lets(request(5, {3, 11}, true), kLater));
+  EXPECT_FALSE(floor.allows(request(5, {4, 19}), kLater - 1));
+  EXPECT_TRUE(floor.allows(request(5, {4, 20}), kLater - 1));
+  EXPECT_TRUE(floor.allows(request(5, {3, 12}), kLater));
+  EXPECT_FALSE(floor.allows(request(5, {3, 11}), kLater));
+  EXPECT_FALSE(floor.allows(request(5, {2, 99}), kLater));  // longer, but of an older term: behind
+  EXPECT_FALSE(floor.allows(request(5, {3, 11}, true), kLater));
 }
 
-TEST(VoteFloor, NoVoteInATermThatMayHaveHadOne) {
-  VoteFloor floor(1, {1, 2, 3}, 0, kPatience);
-  floor.told(2, {7, {}, {}});
-  floor.told(3, {5, {}, {}});
-  EXPECT_FALSE(floor.lets(request(7, {1, 1}), 0));
-  EXPECT_TRUE(floor.lets(request(7, {1, 1}, true), 0));
-  EXPECT_TRUE(floor.lets(request(8, {1, 1}), 0));
-  floor.told(2, {9, {}, {}});  // a later greeting: this keeper has been running since
-  EXPECT_TRUE(floor.lets(request(8, {1, 1}), 0));
+TEST(VoteGuard, NoVoteInATermThatMayHaveHadOne) {
+  VoteGuard floor(1, {1, 2, 3}, 0, kPatience);
+  floor.on_greeting(2, {7, {}, {}});
+  floor.on_greeting(3, {5, {}, {}});
+  EXPECT_FALSE(floor.allows(request(7, {1, 1}), 0));
+  EXPECT_TRUE(floor.allows(request(7, {1, 1}, true), 0));
+  EXPECT_TRUE(floor.allows(request(8, {1, 1}), 0));
+  floor.on_greeting(2, {9, {}, {}});  // a later greeting: this keeper has been running since
+  EXPECT_TRUE(floor.allows(request(8, {1, 1}), 0));
 }
 
-TEST(VoteFloor, AllOtherWordsPass) {
-  VoteFloor floor(1, {1, 2, 3}, 0, kPatience);
+TEST(VoteGuard, AllOtherWordsPass) {
+  VoteGuard floor(1, {1, 2, 3}, 0, kPatience);
   using Kind = fleet::LogMessage::Kind;
   for (const Kind kind : {Kind::kAppend, Kind::kAppendResult, Kind::kVoteResult, Kind::kSnapshot}) {
     fleet::LogMessage message;
     message.kind = kind;
-    EXPECT_TRUE(floor.lets(message, 0));
+    EXPECT_TRUE(floor.allows(message, 0));
   }
 }
 
--- a/tests/reducer/levels_test.cpp
+++ b/tests/reducer/levels_test.cpp
@@ -47,8 +47,8 @@
   start_reducer();
   apply_levels(kSlow, "{shed: [{class: report}]}");
   RequestTag tag = 0;
-  for (int i = 0; i < 30 && !reducer->levels().sheds_any(); ++i) serve(++tag, 600 * kMs);
-  ASSERT_TRUE(reducer->levels().sheds_any());
+  for (int i = 0; i < 30 && !reducer->levels().any_level_active(); ++i) serve(++tag, 600 * kMs);
+  ASSERT_TRUE(reducer->levels().any_level_active());
   request(++tag, "report");
   ASSERT_EQ(answers[tag].size(), 1U);
   EXPECT_EQ(answers[tag][0].substr(0, 8), "refused ");
@@ -56,8 +56,8 @@
   EXPECT_EQ(shed_count(), 1U);
   serve(++tag, 10 * kMs);  // lookups go on
   EXPECT_EQ(answers[tag], std::vector<std::string>{"served x\n"});
-  for (int i = 0; i < 2'000 && reducer->levels().sheds_any(); ++i) serve(++tag, 50 * kMs);
-  EXPECT_FALSE(reducer->levels().sheds_any());
+  for (int i = 0; i < 2'000 && reducer->levels().any_level_active(); ++i) serve(++tag, 50 * kMs);
+  EXPECT_FALSE(reducer->levels().any_level_active());
   request(++tag, "report");
   EXPECT_EQ(answers.count(tag), 0U);
 }
@@ -80,10 +80,10 @@
   start_reducer();
   apply_levels(kFewEngines, "{shed: [{class: report}]}");
   request(1, "report");
-  const StartCall call = last_call();
+  const SendCall call = last_call();
   drain(call.engine == "s-0" ? 1 : 0);
   run_until(now + 1 * kSecond);
-  ASSERT_TRUE(reducer->levels().sheds_any());
+  ASSERT_TRUE(reducer->levels().any_level_active());
   request(2, "report");
   EXPECT_EQ(answers[2].size(), 1U);
   answer(call.call, Kind::kServed, "r\n", 1);
@@ -119,8 +119,8 @@
 TEST_F(LevelsTest, WithoutLevelsNoSamplesAreTaken) {
   start_reducer(0);
   apply(LimitsChanged{nullptr, nullptr});
-  EXPECT_FALSE(reducer->levels().on());
-  EXPECT_TRUE(reducer->levels().time_in().empty());
+  EXPECT_FALSE(reducer->levels().has_levels());
+  EXPECT_TRUE(reducer->levels().time_by_level().empty());
 }
 
 }  // namespace
--- a/tests/reducer/limits_test.cpp
+++ b/tests/reducer/limits_test.cpp
@@ -54,7 +54,7 @@
   ASSERT_EQ(answers[1].size(), 1U);
   EXPECT_EQ(answers[1][0].substr(0, 7), "refused");
   EXPECT_EQ(start_count(), 1U);
-  EXPECT_EQ(refusal_count(Reason::kAttempts), 1U);
+  EXPECT_EQ(refusal_count(Reason::kMaxAttempts), 1U);
 }
 
 TEST_F(LimitedTest, WithoutLimitsAFailedAttemptIsTriedAgain) {
@@ -71,7 +71,7 @@
   request(1);
   answer(last_call().call, Kind::kError);
   EXPECT_EQ(answers[1].size(), 1U);
-  EXPECT_EQ(refusal_count(Reason::kOutcome), 1U);
+  EXPECT_EQ(refusal_count(Reason::kOutcomeNotRetried), 1U);
 }
 
 TEST_F(LimitedTest, ASpentRetryBudgetIsAnsweredAtOnce) {
@@ -84,7 +84,7 @@
   }
   EXPECT_EQ(start_count(), 3U);  // one of the two queries was tried again
   EXPECT_EQ(answers[2].size(), 1U);
-  EXPECT_EQ(refusal_count(Reason::kRetryShare), 1U);
+  EXPECT_EQ(refusal_count(Reason::kRetryBudget), 1U);
 }
 
 TEST_F(LimitedTest, TheNextAttemptWaitsForItsBackOff) {
@@ -119,11 +119,11 @@
   EXPECT_EQ(start_count(), 2U);
   run_until(now + 800 * kMs);
   EXPECT_EQ(answers[3].size(), 1U);
-  EXPECT_EQ(refusal_count(Reason::kHeldTooLong), 1U);
+  EXPECT_EQ(refusal_count(Reason::kQueueTimeout), 1U);
   answer(last_call().call, Kind::kServed, "x\n", 1);
   EXPECT_EQ(answers[2], std::vector<std::string>{"served x\n"});
   EXPECT_EQ(reducer->queries(), 0U);
-  EXPECT_EQ(reducer->limiter().under_limits(), 0U);
+  EXPECT_EQ(reducer->limiter().tracked_query_count(), 0U);
 }
 
 TEST_F(LimitedTest, AClientThatLeavesWhileItWaitsGivesItsPlaceInTheLineBack) {
@@ -136,7 +136,7 @@
   answer(last_call().call, Kind::kServed, "x\n", 1);
   EXPECT_EQ(answers[3], std::vector<std::string>{"served x\n"});
   EXPECT_EQ(answers.count(2), 0U);
-  EXPECT_EQ(reducer->limiter().under_limits(), 0U);
+  EXPECT_EQ(reducer->limiter().tracked_query_count(), 0U);
 }
 
 TEST_F(LimitedTest, TheBudgetThatIsLeftIsWhatTheModuleGets) {
@@ -166,10 +166,10 @@
 // that waited under its limits was accepted before it was admitted, so its admission adds nothing to the
 // budget.
 TEST_F(LimitedTest, AQueryThatWaitedCountsForNoFurtherAttempt) {
-  settings.rules.attempts_rationed = true;
-  settings.rules.extra_free = 0;
-  settings.rules.extra_share = 0.5;
-  settings.rules.extra_window = 10 * kSecond;
+  settings.rules.has_retry_budget = true;
+  settings.rules.retry_budget_floor = 0;
+  settings.rules.retry_budget_share = 0.5;
+  settings.rules.retry_budget_window = 10 * kSecond;
   start_reducer();
   apply_route("  concurrency: 1\n");
   request(1);
@@ -190,7 +190,7 @@
   start_reducer();
   apply_route("  second_copy: {after: 200ms}\n");
   request(1);
-  const StartCall first = last_call();
+  const SendCall first = last_call();
   run_until(now + 180 * kMs);
   EXPECT_EQ(start_count(), 1U);
   run_until(now + 60 * kMs);
--- a/tests/reducer/reducer_fixture.h
+++ b/tests/reducer/reducer_fixture.h
@@ -31,8 +31,8 @@
     settings.gateways = 1;
     ClassSettings lookup;
     lookup.name = "lookup";
-    lookup.aim = 1 * kSecond;
-    lookup.aim_stretch = 2;
+    lookup.latency_target = 1 * kSecond;
+    lookup.latency_target_runtime_factor = 2;
     lookup.deadline = 8 * kSecond;
     lookup.effect = Effect::kIdempotent;
     ClassSettings once = lookup;
@@ -44,7 +44,7 @@
     settings.limits.cancel = true;
     settings.limits.retry_after = true;
     settings.limits.max_retry_after = 500 * kMs;
-    settings.tells_cost = true;
+    settings.engines_report_cost = true;
   }
 
   void start_reducer(int engines = 2) {
@@ -66,7 +66,7 @@
 
   void apply(Event event) {
     for (SideEffect& effect : reducer->apply(now, std::move(event))) {
-      if (auto* call = std::get_if<StartCall>(&effect)) {
+      if (auto* call = std::get_if<SendCall>(&effect)) {
         calls.push_back(std::move(*call));
       } else if (auto* drop = std::get_if<DropCall>(&effect)) {
         dropped.push_back(drop->call);
@@ -116,7 +116,7 @@
   }
 
   // The most recent call to an engine.
-  StartCall& last_call() { return calls.back(); }
+  SendCall& last_call() { return calls.back(); }
 
   void answer(CallId call, CallAnswer::Kind kind, const std::string& rows = "", int pages = 0, int page = 0) {
     CallAnswer call_answer;
@@ -137,7 +137,7 @@
   metrics::Counters counters;
   std::unique_ptr<Reducer> reducer;
   TimeUs now = 1'000 * kSecond;
-  std::vector<StartCall> calls;
+  std::vector<SendCall> calls;
   std::vector<CallId> dropped;
   std::vector<CallId> withdrawn;
   std::map<RequestTag, std::vector<std::string>> answers;
