--- a/tests/reducer/reducer_test.cpp
+++ b/tests/reducer/reducer_test.cpp
@@ -27,8 +27,8 @@
   request(1);
   for (int i = 0; i < 3; ++i) {
     now += 250 * kMs;
-    answer(last_call().call, Kind::kNotYet);
-    EXPECT_EQ(last_call().kind, CallKind::kNews);
+    answer(last_call().call, Kind::kPending);
+    EXPECT_EQ(last_call().kind, CallKind::kPoll);
   }
   EXPECT_EQ(calls.size(), 4U);
   answer(last_call().call, Kind::kServed, "x\n", 1);
@@ -100,9 +100,9 @@
   start_reducer();
   request(1, "once");
   end_call(last_call().call, ConnectionEnd::kUnreadable);
-  EXPECT_EQ(last_call().kind, CallKind::kNews);
+  EXPECT_EQ(last_call().kind, CallKind::kPoll);
   end_call(last_call().call, ConnectionEnd::kClosedMidAnswer);
-  EXPECT_EQ(last_call().kind, CallKind::kNews);
+  EXPECT_EQ(last_call().kind, CallKind::kPoll);
   answer(last_call().call, Kind::kServed, "0\n", 2);
   end_call(last_call().call, ConnectionEnd::kUnreadable);
   EXPECT_EQ(last_call().kind, CallKind::kPage);
@@ -116,9 +116,9 @@
 TEST_F(ReducerTest, AnswersThatStayCorruptEndTheAttempt) {
   start_reducer();
   request(1, "once");
-  for (int i = 0; i < 20 && last_call().kind != CallKind::kGiveUp; ++i)
+  for (int i = 0; i < 20 && last_call().kind != CallKind::kCancel; ++i)
     end_call(last_call().call, ConnectionEnd::kUnreadable);
-  ASSERT_EQ(last_call().kind, CallKind::kGiveUp);
+  ASSERT_EQ(last_call().kind, CallKind::kCancel);
   // Any answer, readable or not, shows that the engine received the call.
   end_call(last_call().call, ConnectionEnd::kUnreadable);
   EXPECT_EQ(outcome_count(OutcomeKind::kError), 1U);
@@ -132,7 +132,7 @@
   request(1);
   const AttemptId first = last_call().attempt;
   EXPECT_NE(first, 0U);
-  answer(last_call().call, Kind::kNotYet);
+  answer(last_call().call, Kind::kPending);
   EXPECT_EQ(last_call().attempt, first);
   answer(last_call().call, Kind::kServed, "x\n", 1);
   EXPECT_EQ(closed, std::vector<AttemptId>{first});
@@ -181,7 +181,7 @@
 TEST_F(ReducerTest, AQueryThatExpiredBeforeTheEngineStartedItNeverRan) {
   start_reducer();
   request(1, "once");
-  answer(last_call().call, Kind::kOver);
+  answer(last_call().call, Kind::kExpired);
   EXPECT_EQ(outcome_count(OutcomeKind::kFull), 1U);
   EXPECT_EQ(last_call().kind, CallKind::kStart);
   EXPECT_EQ(calls.size(), 2U);
@@ -210,7 +210,7 @@
   const std::string reference = last_call().reference;
   const EngineId engine = last_call().engine;
   end_call(last_call().call, ConnectionEnd::kResetUnanswered);
-  EXPECT_EQ(last_call().kind, CallKind::kNews);
+  EXPECT_EQ(last_call().kind, CallKind::kPoll);
   EXPECT_EQ(last_call().reference, reference);
   EXPECT_EQ(last_call().engine, engine);
   answer(last_call().call, Kind::kServed, "x\n", 1);
@@ -221,7 +221,7 @@
 TEST_F(ReducerTest, ABrokenNewsCallThatIsThenRefusedMayHaveRun) {
   start_reducer();
   request(1, "once");
-  answer(last_call().call, Kind::kNotYet);
+  answer(last_call().call, Kind::kPending);
   end_call(last_call().call, ConnectionEnd::kResetUnanswered);
   end_call(last_call().call, ConnectionEnd::kRefused);
   EXPECT_EQ(outcome_count(OutcomeKind::kReset), 1U);
@@ -232,26 +232,26 @@
 TEST_F(ReducerTest, AskingAgainIsAllowedAnewAfterAnAnswer) {
   start_reducer();
   request(1, "once");
-  answer(last_call().call, Kind::kNotYet);
+  answer(last_call().call, Kind::kPending);
   for (int i = 0; i < 3; ++i) {
     end_call(last_call().call, ConnectionEnd::kClosedUnanswered);
-    EXPECT_EQ(last_call().kind, CallKind::kNews);
-    answer(last_call().call, Kind::kNotYet);
+    EXPECT_EQ(last_call().kind, CallKind::kPoll);
+    answer(last_call().call, Kind::kPending);
   }
   answer(last_call().call, Kind::kServed, "x\n", 1);
   EXPECT_EQ(answers[1], std::vector<std::string>{"served x\n"});
 }
 
 TEST_F(ReducerTest, ASilentEngineIsToldToStopBeforeTheQueryGoesElsewhere) {
-  settings.classes[0].aim = 8 * kSecond;  // worth another attempt after all that
+  settings.classes[0].latency_target = 8 * kSecond;  // worth another attempt after all that
   start_reducer();
   request(1);
   const EngineId first = last_call().engine;
   end_call(last_call().call, ConnectionEnd::kSilent);
-  EXPECT_EQ(last_call().kind, CallKind::kNews);
+  EXPECT_EQ(last_call().kind, CallKind::kPoll);
   now += 2 * kSecond;  // by now the engine has dropped the query, as nobody asked for it
   end_call(last_call().call, ConnectionEnd::kSilent);
-  EXPECT_EQ(last_call().kind, CallKind::kGiveUp);
+  EXPECT_EQ(last_call().kind, CallKind::kCancel);
   EXPECT_EQ(last_call().engine, first);
   EXPECT_EQ(outcome_count(OutcomeKind::kTimeout), 0U);
   answer(last_call().call, Kind::kDone);
@@ -263,14 +263,14 @@
 // Guards against two attempts at once: the call that cancels the first is never answered, so the next attempt
 // waits until the engine has dropped the query by itself.
 TEST_F(ReducerTest, AnUnansweredCancelDelaysTheNextAttemptUntilTheEngineHasDroppedTheQuery) {
-  settings.classes[0].aim = 8 * kSecond;  // worth another attempt after all that
+  settings.classes[0].latency_target = 8 * kSecond;  // worth another attempt after all that
   settings.classes[0].deadline = 16 * kSecond;
   start_reducer();
   request(1, "lookup", 12 * kSecond);
   now += 2 * kSecond;
   end_call(last_call().call, ConnectionEnd::kSilent);
   const TimeUs last_asked_at = now;
-  while (last_call().kind == CallKind::kGiveUp && calls.size() < 20 && counters.open_calls.now > 0)
+  while (last_call().kind == CallKind::kCancel && calls.size() < 20 && counters.open_calls.now > 0)
     end_call(last_call().call, ConnectionEnd::kSilent);
   const auto start_count = [&] {
     return std::count_if(calls.begin(), calls.end(),
@@ -291,7 +291,7 @@
   EXPECT_EQ(answers[1], std::vector<std::string>{"failed "});
   EXPECT_EQ(dropped, std::vector<CallId>{start});
   end_call(start, ConnectionEnd::kDropped);
-  EXPECT_EQ(last_call().kind, CallKind::kGiveUp);
+  EXPECT_EQ(last_call().kind, CallKind::kCancel);
   EXPECT_EQ(reducer->queries(), 1U);
   answer(last_call().call, Kind::kDone);
   EXPECT_EQ(reducer->queries(), 0U);
@@ -312,11 +312,11 @@
   start_reducer();
   request(1);
   const CallId start = last_call().call;
-  answer(start, Kind::kNotYet);
+  answer(start, Kind::kPending);
   apply(RequestAborted{kClient, 1});
   ASSERT_EQ(dropped.size(), 1U);
   end_call(dropped[0], ConnectionEnd::kDropped);
-  EXPECT_EQ(last_call().kind, CallKind::kGiveUp);
+  EXPECT_EQ(last_call().kind, CallKind::kCancel);
   answer(last_call().call, Kind::kDone);
   EXPECT_TRUE(answers.empty());
   EXPECT_EQ(reducer->queries(), 0U);
@@ -450,8 +450,8 @@
   const TimeUs first = *reducer->next_due();
   now = first + 1 * kSecond;  // late: timers that the module sets during this turn wait for the next one
   apply(TimePassed{});
-  EXPECT_GT(counters.timers.count, 0U);
-  EXPECT_GE(counters.timers.worst, 1 * kSecond);
+  EXPECT_GT(counters.timer_lateness.count, 0U);
+  EXPECT_GE(counters.timer_lateness.worst, 1 * kSecond);
   EXPECT_GT(*reducer->next_due(), first);
 }
 
@@ -477,7 +477,7 @@
   start_reducer(3);
   const std::vector<ConnectionEnd> ends = {ConnectionEnd::kRefused, ConnectionEnd::kResetUnanswered,
                                            ConnectionEnd::kSilent, ConnectionEnd::kUnreadable,
-                                           ConnectionEnd::kNotUpInTime};
+                                           ConnectionEnd::kConnectTimeout};
   std::size_t handled = 0;
   for (RequestTag tag = 1; tag <= 400; ++tag) {
     request(tag, tag % 3 == 0 ? "once" : "lookup", 2 * kSecond);
@@ -488,7 +488,7 @@
       if (turn % 4 == 0) {
         end_call(call, ends[turn / 4 % ends.size()]);
       } else {
-        answer(call, turn % 4 == 1 ? Kind::kServed : turn % 4 == 2 ? Kind::kNotYet : Kind::kFull, "x\n", 1);
+        answer(call, turn % 4 == 1 ? Kind::kServed : turn % 4 == 2 ? Kind::kPending : Kind::kFull, "x\n", 1);
       }
     }
     run_until(now + 30 * kMs);
--- a/tests/reducer/shutdown_test.cpp
+++ b/tests/reducer/shutdown_test.cpp
@@ -40,7 +40,7 @@
   start_reducer(1);
   request(1);
   request(2, "once");
-  for (const StartCall& call : std::vector(calls)) answer(call.call, Kind::kNotYet);
+  for (const SendCall& call : std::vector(calls)) answer(call.call, Kind::kPending);
   shut_down_in(kSecond);
   run_until(now + kSecond - 1);
   EXPECT_TRUE(answers.empty());
--- a/tests/reducer/unsent_attempts_test.cpp
+++ b/tests/reducer/unsent_attempts_test.cpp
@@ -11,7 +11,7 @@
  protected:
   std::size_t start_count() const {
     return static_cast<std::size_t>(std::count_if(
-        calls.begin(), calls.end(), [](const StartCall& call) { return call.kind == CallKind::kStart; }));
+        calls.begin(), calls.end(), [](const SendCall& call) { return call.kind == CallKind::kStart; }));
   }
 };
 
@@ -34,9 +34,9 @@
 // The retry budget (rule 7 of the settings) allows one further attempt: one that fails to connect leaves it
 // to the next.
 TEST_F(UnsentAttempts, AConnectThatFailsUsesUpNoAllowanceForFurtherAttempts) {
-  settings.rules.attempts_rationed = true;
-  settings.rules.extra_free = 1;
-  settings.rules.extra_window = 10 * kSecond;
+  settings.rules.has_retry_budget = true;
+  settings.rules.retry_budget_floor = 1;
+  settings.rules.retry_budget_window = 10 * kSecond;
   start_reducer(4);
   request(1);
   for (std::size_t failed = 1; failed <= 2; ++failed) {
@@ -67,7 +67,7 @@
 }
 
 INSTANTIATE_TEST_SUITE_P(Ends, EndsWithoutAByteSent,
-                         ::testing::Values(ConnectionEnd::kRefused, ConnectionEnd::kNotUpInTime,
+                         ::testing::Values(ConnectionEnd::kRefused, ConnectionEnd::kConnectTimeout,
                                            ConnectionEnd::kUnreachable, ConnectionEnd::kNoDescriptor,
                                            ConnectionEnd::kResetUnsent, ConnectionEnd::kClosedUnsent,
                                            ConnectionEnd::kClosedIdle, ConnectionEnd::kWithdrawn),
--- a/tests/reducer/withdrawal_test.cpp
+++ b/tests/reducer/withdrawal_test.cpp
@@ -27,7 +27,7 @@
     answers.clear();
     start_reducer();
     request(1, "once");
-    const StartCall first = last_call();
+    const SendCall first = last_call();
     set_engine_state(engine_number(first.engine), state);
     ASSERT_EQ(withdrawn, std::vector<CallId>{first.call});
     // It never ran: even a query of this class may go to another engine.
@@ -49,8 +49,8 @@
 TEST_F(Withdrawal, WhatRunsIsLeftAloneWhenItsEngineDrains) {
   start_reducer();
   request(1);
-  answer(last_call().call, Kind::kNotYet);
-  ASSERT_EQ(last_call().kind, CallKind::kNews);
+  answer(last_call().call, Kind::kPending);
+  ASSERT_EQ(last_call().kind, CallKind::kPoll);
   set_engine_state(engine_number(last_call().engine), EngineState::kDraining);
   EXPECT_TRUE(withdrawn.empty());
   answer(last_call().call, Kind::kServed, "x\n", 1);
@@ -61,7 +61,7 @@
 TEST_F(Withdrawal, AWithdrawnStartIsNotCountedAgainstItsEngine) {
   start_reducer(1);
   request(1);
-  const StartCall first = last_call();
+  const SendCall first = last_call();
   apply(ClientClosed{kClient});
   end_call(first.call, ConnectionEnd::kWithdrawn);
   request(2);
@@ -91,7 +91,7 @@
     withdrawn.clear();
     start_reducer();
     request(1);
-    const StartCall first = last_call();
+    const SendCall first = last_call();
     const auto calls_before = calls.size();
     if (closes) {
       apply(ClientClosed{kClient});
@@ -110,12 +110,12 @@
 TEST_F(Withdrawal, GivingUpGoesOverAConnectionOfItsOwn) {
   start_reducer();
   request(1);
-  const StartCall first = last_call();
+  const SendCall first = last_call();
   apply(RequestAborted{kClient, 1});
   ASSERT_EQ(dropped, std::vector<CallId>{first.call});
   closed.clear();
-  answer(first.call, Kind::kNotYet);  // was on its way when the call was dropped: the connection stays open
-  ASSERT_EQ(last_call().kind, CallKind::kGiveUp);
+  answer(first.call, Kind::kPending);  // was on its way when the call was dropped: the connection stays open
+  ASSERT_EQ(last_call().kind, CallKind::kCancel);
   EXPECT_EQ(closed, std::vector<AttemptId>{first.attempt});
 }
 
--- a/tests/service_level/ladder_test.cpp
+++ b/tests/service_level/ladder_test.cpp
@@ -20,12 +20,12 @@
   // seconds.
   void run(TimeUs seconds) {
     for (const TimeUs end = now + seconds * kSecond; now < end;) {
-      now += kSampleEvery;
+      now += kSampleInterval;
       record_event(ladder->sample(now, signals));
     }
   }
 
-  void record_event(const std::optional<Change>& change) {
+  void record_event(const std::optional<LadderEvent>& change) {
     if (!change) return;
     EXPECT_FALSE(change->reason.empty());
     const std::string at = std::to_string((now - kStart) / kSecond) + ": ";
@@ -38,7 +38,7 @@
 
   std::shared_ptr<const LevelFile> file;
   std::unique_ptr<Ladder> ladder;
-  HandSignals signals;
+  FakeSignals signals;
   TimeUs now = kStart;
   std::vector<std::string> changes, trials, reasons;
 };
@@ -51,9 +51,9 @@
   run(1);
   slowdown() = 4;
   run(1);
-  EXPECT_EQ(ladder->height(), 0U);
+  EXPECT_EQ(ladder->active_level_count(), 0U);
   run(1);
-  EXPECT_EQ(ladder->height(), 1U);
+  EXPECT_EQ(ladder->active_level_count(), 1U);
   EXPECT_EQ(reasons, std::vector<std::string>{"slowdown 4 above 3"});
 }
 
@@ -67,7 +67,7 @@
   run(4);
   EXPECT_EQ(ladder->admitted_share(), 0.5);
   run(6);
-  EXPECT_EQ(ladder->height(), 0U);
+  EXPECT_EQ(ladder->active_level_count(), 0U);
   EXPECT_EQ(changes, (std::vector<std::string>{"2: full -> reduced", "20: reduced -> full"}));
 }
 
@@ -87,7 +87,7 @@
   EXPECT_LT(waits[0], waits[1] + 3);
   EXPECT_GE(waits[1], 9);
   EXPECT_GE(waits[2], 19);
-  EXPECT_EQ(ladder->height(), 1U);
+  EXPECT_EQ(ladder->active_level_count(), 1U);
   EXPECT_EQ(changes.size(), 1U);
 }
 
@@ -98,7 +98,7 @@
       changes.clear();
       ladder_of(one_level(more));
       for (int i = 0; i < 2'400; ++i) {
-        now += kSampleEvery;
+        now += kSampleInterval;
         slowdown() = std::fmod(static_cast<double>(i) * 0.25, 2 * half_period) < half_period ? 3.4 : 1.3;
         record_event(ladder->sample(now, signals));
       }
@@ -116,7 +116,7 @@
       "      - {signal: slowdown, below: 2, for: 3s}\n      - {signal: buffers, below: 50%, for: 3s}\n"
       "    least_stay: 5s\n    effects: {shed: [{class: report}]}\n");
   for (int i = 0; i < 2'400; ++i) {
-    now += kSampleEvery;
+    now += kSampleInterval;
     const bool first = (i / 16) % 2 == 0;
     signals.values[Signal::kSlowdown] = first ? 3.5 : 1;
     signals.values[Signal::kBuffers] = first ? 0.2 : 0.9;
@@ -132,9 +132,9 @@
   slowdown() = 6;
   TimeUs reduced = 0;
   for (int i = 0; i < 2'400; ++i) {
-    now += kSampleEvery;
+    now += kSampleInterval;
     record_event(ladder->sample(now, signals));
-    reduced += ladder->height() > 0 ? kSampleEvery : 0;
+    reduced += ladder->active_level_count() > 0 ? kSampleInterval : 0;
   }
   ASSERT_GE(changes.size(), 4U);
   EXPECT_NE(reasons[1].find("it did not help: slowdown 6 above 3"), std::string::npos) << reasons[1];
@@ -145,13 +145,13 @@
   ladder_of(one_level());
   slowdown() = 4;
   run(3);
-  ASSERT_EQ(ladder->height(), 1U);
+  ASSERT_EQ(ladder->active_level_count(), 1U);
   signals.values.clear();
   run(60);
-  EXPECT_EQ(ladder->height(), 0U);
+  EXPECT_EQ(ladder->active_level_count(), 0U);
   EXPECT_NE(trials[0].find("slowdown is unknown: no data"), std::string::npos) << trials[0];
   run(60);
-  EXPECT_EQ(ladder->height(), 0U);
+  EXPECT_EQ(ladder->active_level_count(), 0U);
 }
 
 TEST_F(LadderTest, AfterTheLongestStayItIsTried) {
@@ -164,7 +164,7 @@
   run(60);
   ASSERT_FALSE(trials.empty());
   EXPECT_NE(trials[0].find("the longest stay is over"), std::string::npos);
-  EXPECT_EQ(ladder->height(), 0U);
+  EXPECT_EQ(ladder->active_level_count(), 0U);
 }
 
 TEST_F(LadderTest, NoLevelIsSkippedUpwardsAndEachHasItsLeastStay) {
@@ -184,30 +184,30 @@
   slowdown() = 4;
   now += 10 * kSecond;
   record_event(ladder->sample(now, signals));
-  EXPECT_EQ(ladder->height(), 0U);
+  EXPECT_EQ(ladder->active_level_count(), 0U);
 }
 
 TEST_F(LadderTest, ALevelSetByHandHoldsUntilItsTimeAndIsLeftAsAnyOther) {
   ladder_of(two_levels());
   slowdown() = 1;
   signals.values[Signal::kLateShare] = 0;
-  ladder->set_by_hand("bare", now + 30 * kSecond);
+  ladder->override_level("bare", now + 30 * kSecond);
   run(20);
-  EXPECT_EQ(ladder->height(), 2U);
+  EXPECT_EQ(ladder->active_level_count(), 2U);
   EXPECT_EQ(reasons[0], "set by hand");
   run(200);
-  EXPECT_EQ(ladder->height(), 0U);
-  ladder->set_by_hand("nothing of that name", now + 30 * kSecond);
+  EXPECT_EQ(ladder->active_level_count(), 0U);
+  ladder->override_level("nothing of that name", now + 30 * kSecond);
   run(5);
-  EXPECT_EQ(ladder->height(), 0U);
+  EXPECT_EQ(ladder->active_level_count(), 0U);
 }
 
 TEST_F(LadderTest, FullServiceCanBeSetByHandAgainstTheSignals) {
   ladder_of(one_level());
   slowdown() = 9;
-  ladder->set_by_hand("full", now + 60 * kSecond);
+  ladder->override_level("full", now + 60 * kSecond);
   run(50);
-  EXPECT_EQ(ladder->height(), 0U);
+  EXPECT_EQ(ladder->active_level_count(), 0U);
 }
 
 TEST_F(LadderTest, ALevelOfTheSameNameStaysInForceOverAReload) {
@@ -218,7 +218,7 @@
   const auto before = std::move(ladder);
   ladder_of(one_level());
   ladder->adopt_state(*before);
-  EXPECT_EQ(ladder->height(), 1U);
+  EXPECT_EQ(ladder->active_level_count(), 1U);
   EXPECT_EQ(ladder->level_since(), before->level_since());
 }
 
@@ -232,9 +232,9 @@
       "levels:\n  list:\n  - name: other\n    enter: {signal: slowdown, above: 9, for: 2s}\n"
       "    leave: {signal: slowdown, below: 1.5}\n    effects: {shed: [{class: report}]}\n");
   ladder->adopt_state(*before);
-  EXPECT_EQ(ladder->height(), 0U);
+  EXPECT_EQ(ladder->active_level_count(), 0U);
   run(30);
-  EXPECT_EQ(ladder->height(), 0U);
+  EXPECT_EQ(ladder->active_level_count(), 0U);
 }
 
 }  // namespace
--- a/tests/service_level/levels.h
+++ b/tests/service_level/levels.h
@@ -18,8 +18,8 @@
 
 // The faults of an operator file with this body, as lines "f:line:column: path: reason".
 inline std::vector<std::string> level_faults(const std::string& body,
-                                             Settings settings = limits::deployment()) {
-  const auto read = operator_file::read_operator_file(limits::whole_file(body));
+                                             Settings settings = limits::test_settings()) {
+  const auto read = operator_file::read_operator_file(limits::operator_file_text(body));
   auto faults = read.faults;
   if (faults.empty()) faults = check(settings, read.file.levels);
   std::vector<std::string> out;
@@ -31,11 +31,11 @@
 inline std::shared_ptr<const LevelFile> levels_of(const std::string& body) {
   EXPECT_EQ(level_faults(body), std::vector<std::string>{});
   return std::make_shared<const LevelFile>(
-      operator_file::read_operator_file(limits::whole_file(body)).file.levels);
+      operator_file::read_operator_file(limits::operator_file_text(body)).file.levels);
 }
 
 // Signals with the values that the test sets; one that is not set is unknown. Class and tenant are ignored.
-class HandSignals final : public SignalView {
+class FakeSignals final : public SignalView {
  public:
   std::optional<double> value(TimeUs, const SignalKey& key) const override {
     const auto it = values.find(key.signal);
--- a/tests/service_level/service_level_test.cpp
+++ b/tests/service_level/service_level_test.cpp
@@ -12,21 +12,21 @@
 class ServiceLevelTest : public ::testing::Test {
  protected:
   void enter(const std::string& body) {
-    levels.put_in_force(now, levels_of(body));
+    levels.activate(now, levels_of(body));
     run_until_entered();
   }
 
   // Reports slow attempts until a level is active.
   void run_until_entered() {
-    for (int i = 0; i < 200 && !levels.sheds_any(); ++i) {
-      now += kSampleEvery;
-      for (int k = 0; k < 10; ++k) levels.meters()->attempt(now, "s-0", 8);
+    for (int i = 0; i < 200 && !levels.any_level_active(); ++i) {
+      now += kSampleInterval;
+      for (int k = 0; k < 10; ++k) levels.meters()->attempt_succeeded(now, "s-0", 8);
       levels.sample(now, {});
     }
-    ASSERT_TRUE(levels.sheds_any());
+    ASSERT_TRUE(levels.any_level_active());
   }
 
-  ShedQuery report(const std::string& identity, const std::string& tenant = "acme") {
+  ShedCandidate report(const std::string& identity, const std::string& tenant = "acme") {
     identities.push_back(identity);
     return {"report", tenant, identities.back(), false};
   }
@@ -44,20 +44,21 @@
 };
 
 TEST_F(ServiceLevelTest, WithoutLevelsItDoesNothing) {
-  levels.put_in_force(now, nullptr);
-  EXPECT_FALSE(levels.on());
-  EXPECT_EQ(levels.sheds(report("x")), nullptr);
-  EXPECT_EQ(levels.over(nullptr, "acme", now), nullptr);
+  levels.activate(now, nullptr);
+  EXPECT_FALSE(levels.has_levels());
+  EXPECT_EQ(levels.shedding_level(report("x")), nullptr);
+  EXPECT_EQ(levels.wrap_query_limits(nullptr, "acme", now), nullptr);
   EXPECT_EQ(levels.limits_scale(), 1);
 }
 
 TEST_F(ServiceLevelTest, ShedsTheStatedShareByHash) {
   enter(with_share("{class: report, share: 30%}"));
   int shed = 0;
-  for (int i = 0; i < 4'000; ++i) shed += levels.sheds(report("q" + std::to_string(i))) != nullptr ? 1 : 0;
+  for (int i = 0; i < 4'000; ++i)
+    shed += levels.shedding_level(report("q" + std::to_string(i))) != nullptr ? 1 : 0;
   EXPECT_NEAR(shed, 1'200, 120);
-  const ShedQuery lookup{"lookup", "acme", "q1", false};
-  EXPECT_EQ(levels.sheds(lookup), nullptr);
+  const ShedCandidate lookup{"lookup", "acme", "q1", false};
+  EXPECT_EQ(levels.shedding_level(lookup), nullptr);
 }
 
 // Guards against clients that get past shedding by retrying.
@@ -65,23 +66,23 @@
   enter(with_share("{class: report, share: 50%}"));
   for (int i = 0; i < 200; ++i) {
     const std::string id = "q" + std::to_string(i);
-    const bool shed = levels.sheds(report(id)) != nullptr;
-    for (int k = 0; k < 5; ++k) EXPECT_EQ(levels.sheds(report(id)) != nullptr, shed);
+    const bool shed = levels.shedding_level(report(id)) != nullptr;
+    for (int k = 0; k < 5; ++k) EXPECT_EQ(levels.shedding_level(report(id)) != nullptr, shed);
   }
 }
 
 // Guards against a refusal that would tell the client that its earlier try never ran.
 TEST_F(ServiceLevelTest, AKeyThatMayHaveRunIsNeverShed) {
   enter(with_share("{class: load}"));
-  EXPECT_NE(levels.sheds({"load", "acme", "key", false}), nullptr);
-  EXPECT_EQ(levels.sheds({"load", "acme", "key", true}), nullptr);
+  EXPECT_NE(levels.shedding_level({"load", "acme", "key", false}), nullptr);
+  EXPECT_EQ(levels.shedding_level({"load", "acme", "key", true}), nullptr);
 }
 
 // Guards against one tenant's flood reducing service for other tenants.
 TEST_F(ServiceLevelTest, ALevelOfATenantMeetsThatTenantAlone) {
   enter(with_share("{class: report}", "    tenant: beta\n"));
-  EXPECT_NE(levels.sheds(report("x", "beta")), nullptr);
-  EXPECT_EQ(levels.sheds(report("x", "acme")), nullptr);
+  EXPECT_NE(levels.shedding_level(report("x", "beta")), nullptr);
+  EXPECT_EQ(levels.shedding_level(report("x", "acme")), nullptr);
   EXPECT_EQ(levels.general_level(), "full");
 }
 
@@ -89,7 +90,7 @@
   enter(with_share("{class: report}"));
   std::set<TimeUs> times;
   for (int i = 0; i < 100; ++i) {
-    const TimeUs in = levels.come_back_in(report("q" + std::to_string(i)), 1'000 * kMs);
+    const TimeUs in = levels.retry_after(report("q" + std::to_string(i)), 1'000 * kMs);
     EXPECT_GE(in, 500 * kMs);
     EXPECT_LE(in, 1'000 * kMs);
     times.insert(in);
@@ -100,16 +101,17 @@
 TEST_F(ServiceLevelTest, ATrialLetsInAPartOfThoseThatWereShedAndNoneElse) {
   enter(with_share("{class: report, share: 80%}") + "  trial: {parts: [50%], step: 60s}\n");
   std::vector<bool> before;
-  for (int i = 0; i < 1'000; ++i) before.push_back(levels.sheds(report("q" + std::to_string(i))) != nullptr);
+  for (int i = 0; i < 1'000; ++i)
+    before.push_back(levels.shedding_level(report("q" + std::to_string(i))) != nullptr);
   for (int i = 0; i < 400; ++i) {
-    now += kSampleEvery;
-    for (int k = 0; k < 10; ++k) levels.meters()->attempt(now, "s-0", 1);
+    now += kSampleInterval;
+    for (int k = 0; k < 10; ++k) levels.meters()->attempt_succeeded(now, "s-0", 1);
     const auto changes = levels.sample(now, {});
     if (!changes.empty()) break;
   }
   int still = 0;
   for (int i = 0; i < 1'000; ++i) {
-    const bool shed = levels.sheds(report("q" + std::to_string(i))) != nullptr;
+    const bool shed = levels.shedding_level(report("q" + std::to_string(i))) != nullptr;
     still += shed ? 1 : 0;
     EXPECT_TRUE(!shed || before[static_cast<std::size_t>(i)]);
   }
@@ -117,12 +119,12 @@
 }
 
 TEST_F(ServiceLevelTest, EffectsHoldForQueriesThatBeganBefore) {
-  levels.put_in_force(
+  levels.activate(
       now, levels_of("levels:\n  list:\n  - name: reduced\n    enter: {signal: slowdown, above: 3, for: 1s}\n"
                      "    leave: {signal: slowdown, below: 1.5}\n"
                      "    effects: {shed: [{class: report}], further_attempts: off, longest_hold: 100ms, "
                      "limits: 50%}\n"));
-  const auto limits = levels.over(nullptr, "acme", now);
+  const auto limits = levels.wrap_query_limits(nullptr, "acme", now);
   EXPECT_TRUE(limits->may_send(now, 1, 0));
   EXPECT_EQ(limits->hold_until(now + kSecond), now + kSecond);
   const TimeUs taken = now;
@@ -138,7 +140,7 @@
   enter(
       "levels:\n  list:\n  - name: reduced\n    enter: {signal: slowdown, above: 3, for: 1s}\n"
       "    leave: {signal: slowdown, below: 1.5}\n    effects: {second_copies: off}\n");
-  const auto limits = levels.over(nullptr, "acme", now);
+  const auto limits = levels.wrap_query_limits(nullptr, "acme", now);
   EXPECT_FALSE(limits->may_send(now, 1, 1));
   EXPECT_TRUE(limits->may_send(now, 1, 0));
 }
@@ -146,19 +148,19 @@
 TEST_F(ServiceLevelTest, TheFileSetsALevelByHandUntilItsTime) {
   const std::string body =
       with_share("{class: report}") + "  manual: {level: reduced, until: 1970-01-01T00:17:00Z}\n";
-  levels.put_in_force(now, levels_of(body));  // 20 s from now
+  levels.activate(now, levels_of(body));  // 20 s from now
   levels.sample(now, {});
-  EXPECT_NE(levels.sheds(report("x")), nullptr);
+  EXPECT_NE(levels.shedding_level(report("x")), nullptr);
   ServiceLevel later;
-  later.put_in_force(now + 60 * kSecond, levels_of(body));
+  later.activate(now + 60 * kSecond, levels_of(body));
   later.sample(now + 60 * kSecond, {});
-  EXPECT_FALSE(later.sheds_any());
+  EXPECT_FALSE(later.any_level_active());
 }
 
 TEST_F(ServiceLevelTest, AReloadWithoutLevelsEndsThem) {
   enter(with_share("{class: report}"));
-  levels.put_in_force(now, nullptr);
-  EXPECT_EQ(levels.sheds(report("x")), nullptr);
+  levels.activate(now, nullptr);
+  EXPECT_EQ(levels.shedding_level(report("x")), nullptr);
 }
 
 TEST(Meters, ASignalNeedsEnoughToTell) {
@@ -166,13 +168,13 @@
   const SignalKey arrivals{Signal::kArrivals, "", "beta", 5 * kSecond};
   Meters meters({late, arrivals});
   EXPECT_FALSE(meters.value(kStart, late));
-  for (int i = 0; i < 4; ++i) meters.answered(kStart, "lookup", "acme", true);
+  for (int i = 0; i < 4; ++i) meters.query_answered(kStart, "lookup", "acme", true);
   EXPECT_FALSE(meters.value(kStart, late));
-  for (int i = 0; i < 6; ++i) meters.answered(kStart, "lookup", "acme", false);
-  meters.answered(kStart, "report", "acme", true);
+  for (int i = 0; i < 6; ++i) meters.query_answered(kStart, "lookup", "acme", false);
+  meters.query_answered(kStart, "report", "acme", true);
   EXPECT_NEAR(*meters.value(kStart, late), 0.4, 1e-9);
   EXPECT_FALSE(meters.value(kStart + 60 * kSecond, late));  // decayed: no new data
-  for (int i = 0; i <= 100; ++i) meters.taken(kStart + i * 100 * kMs, "lookup", "beta");
+  for (int i = 0; i <= 100; ++i) meters.query_arrived(kStart + i * 100 * kMs, "lookup", "beta");
   EXPECT_NEAR(*meters.value(kStart + 10 * kSecond, arrivals), 10, 2);
 }
 
@@ -182,10 +184,11 @@
   const SignalKey there{Signal::kInService, "", "", 5 * kSecond};
   Meters meters({slowest, all, there});
   EXPECT_FALSE(meters.value(kStart, there));
-  meters.engines({"a", "b", "c", "d"}, 3);
+  meters.set_engines({"a", "b", "c", "d"}, 3);
   EXPECT_NEAR(*meters.value(kStart, there), 0.75, 1e-9);
   for (int i = 0; i < 100; ++i)
-    for (const char* id : {"a", "b", "c", "d"}) meters.attempt(kStart + i, id, id[0] == 'd' ? 9 : 1);
+    for (const char* id : {"a", "b", "c", "d"})
+      meters.attempt_succeeded(kStart + i, id, id[0] == 'd' ? 9 : 1);
   EXPECT_NEAR(*meters.value(kStart + 100, all), 3, 0.01);
   EXPECT_NEAR(*meters.value(kStart + 100, slowest), 3, 0.01);
 }
@@ -194,10 +197,10 @@
   const SignalKey slow{Signal::kSlowdown, "", "", 5 * kSecond};
   const SignalKey late{Signal::kLateShare, "lookup", "beta", 2 * kSecond};
   Recorder recorder({slow, late});
-  HandSignals signals;
+  FakeSignals signals;
   for (std::size_t i = 0; i < Recorder::kMaxSamples + 10; ++i) {
     signals.values[Signal::kSlowdown] = static_cast<double>(i);
-    recorder.record(kStart + static_cast<TimeUs>(i) * kSampleEvery, signals);
+    recorder.record(kStart + static_cast<TimeUs>(i) * kSampleInterval, signals);
   }
   EXPECT_EQ(recorder.samples(), Recorder::kMaxSamples);
   std::stringstream csv;
@@ -208,7 +211,7 @@
   for (; recording.next(); ++n) {
     EXPECT_EQ(recording.value(0, slow), static_cast<double>(n + 10));
     EXPECT_FALSE(recording.value(0, late));
-    EXPECT_EQ(recording.at(), kStart + static_cast<TimeUs>(n + 10) * kSampleEvery);
+    EXPECT_EQ(recording.at(), kStart + static_cast<TimeUs>(n + 10) * kSampleInterval);
   }
   EXPECT_EQ(n, Recorder::kMaxSamples);
 }
--- a/tests/soak/mutants.sh
+++ b/tests/soak/mutants.sh
@@ -16,12 +16,12 @@
 
 # Which file, what stands there, what is put in its place, the rule that the soak has to name.
 mutants=(
-  "src/core/reducer_levels.cpp|{ leave({event.client, event.tag}); }|{ (void)event; }|lost: started|aborts are not heeded"
+  "src/core/reducer_levels.cpp|{ abandon_request({event.client, event.tag}); }|{ (void)event; }|lost: started|aborts are not heeded"
   "src/http/engine_calls.cpp|(call.stop_at - now) / kUsPerMs|(call.stop_at - now) / kUsPerMs + 400|deadline:|engines are told 0.4 s too much"
   "src/decision/permission.cpp|return Denial::kWindowOver;|return Denial::kNone;|duplicate:|the window of a repeat is not kept"
   "src/decision/permission.cpp|if (query_class.effect == Effect::kAtMostOnce) return Denial::kMayHaveRun;|if (query_class.effect == Effect::kAtMostOnce) return Denial::kNone;|duplicate: started again|unsafe queries are repeated"
   "src/net/client_connection.cpp|  send(thrift::failed(failed.tag, failed.why));|  if (failed.tag % 4 != 0) send(thrift::failed(failed.tag, failed.why));|lost:|a failed answer in four is not sent"
-  "src/core/reducer.cpp|  const limits::Verdict verdict =|  if (id % 3 != 0) return turn_away(id, Reason::kDecision, longest_advice());\n  const limits::Verdict verdict =|share:|two requests in three are refused"
+  "src/core/reducer.cpp|  const limits::Verdict verdict =|  if (id % 3 != 0) return refuse_request(id, Reason::kDecision, longest_retry_after());\n  const limits::Verdict verdict =|share:|two requests in three are refused"
 )
 
 build() {
--- a/tests/soak/soak_engine.cpp
+++ b/tests/soak/soak_engine.cpp
@@ -16,9 +16,9 @@
 constexpr milliseconds kCheckInterval{5};
 constexpr double kFaultProbability = 0.4;  // that a call is affected, while a fault is on
 
-HttpReply served_with(HttpReply::Way way) {
+HttpReply served_with(HttpReply::Behavior behavior) {
   HttpReply out = integration::served("a\tb\tc\n");
-  out.way = way;
+  out.behavior = behavior;
   return out;
 }
 
@@ -76,9 +76,10 @@
   }
   hang_while_faulty();
   if (out.status == 200) record_answer(call.method == "POST" ? call.headers.at("Call-Id") : id_in_path);
-  if (fault_ == EngineFault::kResets && draw(kFaultProbability)) return served_with(HttpReply::Way::kReset);
+  if (fault_ == EngineFault::kResets && draw(kFaultProbability))
+    return served_with(HttpReply::Behavior::kReset);
   if (fault_ == EngineFault::kTruncatesAnswers && draw(kFaultProbability))
-    return served_with(HttpReply::Way::kCutBody);
+    return served_with(HttpReply::Behavior::kTruncatedBody);
   return out;
 }
 
@@ -134,7 +135,7 @@
     if (Clock::now() >= until) return reply(202);
     std::this_thread::sleep_for(kCheckInterval);
   }
-  return served_with(HttpReply::Way::kReset);
+  return served_with(HttpReply::Behavior::kReset);
 }
 
 HttpReply SoakEngine::cancel(const std::string& reference) {
--- a/tests/soak/soak_faults.cpp
+++ b/tests/soak/soak_faults.cpp
@@ -72,7 +72,7 @@
 
 void SoakFaults::fail_system_calls() {
   ControllerSlot& slot = fleet_.slot(random_slot());
-  const auto fault = static_cast<CallFault>(random_() % faults::kCallFaults);
+  const auto fault = static_cast<CallFault>(random_() % faults::kCallFaultCount);
   const bool is_receive = fault == CallFault::kReceiveFails;
   const std::uint32_t rate = (is_receive ? 10'000 : 50'000) + static_cast<std::uint32_t>(random_() % 200'000);
   slot.faults->set_rate(fault, rate);
--- a/tests/soak/soak_fleet.cpp
+++ b/tests/soak/soak_fleet.cpp
@@ -99,7 +99,7 @@
   if (const char* program = std::getenv("ORCHIDGW_SOAK_PROGRAM")) options.program = program;
   {
     const std::lock_guard lock(engines_mutex_);
-    for (const auto& [id, member] : members_) options.members.push_back(member);
+    for (const auto& [id, member_json] : members_) options.members.push_back(member_json);
   }
   const Instant requested_at = Clock::now();
   auto process = start_process(options);
@@ -128,7 +128,7 @@
   const int code = slot.process->wait_exit();
   if (code != 128 + SIGKILL)
     report_problem("crash: " + slot.record->name() + " had ended with " + std::to_string(code));
-  slot.process->join_reader();
+  slot.process->join_log_reader();
   scan_log(slot.process->log(), slot.record->name());
   start(i);
 }
@@ -204,18 +204,18 @@
 
 // --- Engines ---
 
-void SoakFleet::set_member(const std::string& id, const std::string& member) {
+void SoakFleet::set_member(const std::string& id, const std::string& member_json) {
   const std::lock_guard lock(engines_mutex_);
-  if (member.empty()) {
+  if (member_json.empty()) {
     members_.erase(id);
   } else {
-    members_[id] = member;
+    members_[id] = member_json;
   }
 }
 
-void SoakFleet::announce_start(const std::string& id, const std::string& member) {
-  set_member(id, member);
-  change_log_.tell(member);
+void SoakFleet::announce_start(const std::string& id, const std::string& member_json) {
+  set_member(id, member_json);
+  change_log_.publish(member_json);
   audit_.record_engine_start(id);
 }
 
@@ -223,12 +223,12 @@
   const std::string id = "s-" + std::to_string(++created_engines_);
   auto engine = std::make_shared<SoakEngine>(id, audit_, seed * 31 + static_cast<unsigned>(created_engines_));
   const bool already_running = started_processes_ > 0;
-  const std::string member =
-      integration::member(id, engine->address(), "in_service", already_running ? unix_ms() : 0);
+  const std::string member_json =
+      integration::member_json(id, engine->address(), "in_service", already_running ? unix_ms() : 0);
   if (already_running) {
-    announce_start(id, member);
+    announce_start(id, member_json);
   } else {
-    set_member(id, member);
+    set_member(id, member_json);
   }
   const std::lock_guard lock(engines_mutex_);
   engines_.push_back(std::move(engine));
@@ -244,9 +244,10 @@
   const std::shared_ptr<SoakEngine> engine = random_engine(random);
   engine->crash();
   std::this_thread::sleep_for(outage);
-  const std::string member = integration::member(engine->id(), engine->address(), "in_service", unix_ms());
+  const std::string member_json =
+      integration::member_json(engine->id(), engine->address(), "in_service", unix_ms());
   engine->restart();
-  announce_start(engine->id(), member);
+  announce_start(engine->id(), member_json);
 }
 
 void SoakFleet::replace_engine(std::mt19937& random, milliseconds drain_duration) {
@@ -257,14 +258,14 @@
     std::erase(engines_, engine);
     retired_.push_back(engine);
   }
-  const std::string draining = integration::member(engine->id(), engine->address(), "terminating");
+  const std::string draining = integration::member_json(engine->id(), engine->address(), "terminating");
   set_member(engine->id(), draining);
-  change_log_.tell(draining);
+  change_log_.publish(draining);
   audit_.record_drain(engine->id());
   add_engine(static_cast<unsigned>(random()));
   std::this_thread::sleep_for(drain_duration);
   set_member(engine->id(), "");
-  change_log_.tell(integration::member(engine->id(), engine->address(), "terminated"));
+  change_log_.publish(integration::member_json(engine->id(), engine->address(), "terminated"));
 }
 
 void SoakFleet::fail_change_log(milliseconds outage) {
--- a/tests/soak/soak_fleet.h
+++ b/tests/soak/soak_fleet.h
@@ -27,7 +27,7 @@
   std::mutex mutex;  // guards process and record
   std::shared_ptr<integration::ControllerProcess> process;
   std::shared_ptr<ProcessRecord> record;
-  std::unique_ptr<faults::FaultSwitch> faults = std::make_unique<faults::FaultSwitch>();
+  std::unique_ptr<faults::FaultInjector> faults = std::make_unique<faults::FaultInjector>();
   std::mutex fault_mutex;  // held by the one fault that ends, pauses or reloads the process
 };
 
@@ -67,8 +67,8 @@
   void scan_log(const std::string& log, const std::string& name);
   void report_problem(const std::string& line);
   void add_engine(unsigned seed);
-  void announce_start(const std::string& id, const std::string& member);
-  void set_member(const std::string& id, const std::string& member);
+  void announce_start(const std::string& id, const std::string& member_json);
+  void set_member(const std::string& id, const std::string& member_json);
 
   SoakAudit& audit_;
   integration::ChangeLogStandIn change_log_;
--- a/tests/soak/start_test.cpp
+++ b/tests/soak/start_test.cpp
@@ -29,7 +29,7 @@
 // socket(2) fails for 0.3 s because resources are exhausted (EMFILE, ENFILE, ENOBUFS, ENOMEM), then succeeds.
 TEST(Start, ASocketThatCanNotBeHadAtOnceIsAskedForAgain) {
   constexpr std::uint32_t kAlways = 1'000'000;
-  faults::FaultSwitch faults;
+  faults::FaultInjector faults;
   faults.set_rate(faults::CallFault::kSocketFails, kAlways);
   integration::ControllerOptions options;
   options.environment = faults.environment();
@@ -72,11 +72,12 @@
     options.environment = faults.environment();
     folder = std::filesystem::temp_directory_path() / ("orchidgw-start-" + std::to_string(::getpid()));
     std::filesystem::create_directories(folder / "intents");
-    options.words = {"--intents", (folder / "intents").string(), "--admin", (folder / "admin.sock").string()};
+    options.arguments = {"--intents", (folder / "intents").string(), "--admin",
+                         (folder / "admin.sock").string()};
   }
   ~StartWhereCallsFail() override { std::filesystem::remove_all(folder); }
 
-  faults::FaultSwitch faults;
+  faults::FaultInjector faults;
   ControllerOptions options;
   std::filesystem::path folder;
 };
@@ -98,7 +99,7 @@
     EXPECT_EQ(controller.wait_exit(), 0);
   });
   end_of_fault.join();
-  EXPECT_GT(faults.made(GetParam()), 1U);
+  EXPECT_GT(faults.injected(GetParam()), 1U);
 }
 
 // The call fails for as long as a restart may take: the process ends with one line that names the call, the
@@ -108,10 +109,10 @@
   faults.set_rate(GetParam(), kEveryCall);
   std::map<std::string, std::string> environment = options.environment;
   const std::string config = folder / "config.json";
-  std::ofstream(config) << integration::config_of(options);
+  std::ofstream(config) << integration::make_config_json(options);
   environment["BALANCER_CONFIG"] = config;
   const auto started_at = std::chrono::steady_clock::now();
-  ControllerProcess controller(environment, options.words);
+  ControllerProcess controller(environment, options.arguments);
   EXPECT_EQ(controller.wait_exit(), 1);
   EXPECT_LT(std::chrono::steady_clock::now() - started_at, kMaxStartTime);
   const std::string log = controller.log();
@@ -124,9 +125,9 @@
   faults.set_rate(GetParam(), kEveryCall);
   std::map<std::string, std::string> environment = options.environment;
   const std::string config = folder / "config.json";
-  std::ofstream(config) << integration::config_of(options);
+  std::ofstream(config) << integration::make_config_json(options);
   environment["BALANCER_CONFIG"] = config;
-  ControllerProcess controller(environment, options.words);
+  ControllerProcess controller(environment, options.arguments);
   std::this_thread::sleep_for(std::chrono::milliseconds(500));
   const auto signaled_at = std::chrono::steady_clock::now();
   controller.signal(SIGTERM);
@@ -144,7 +145,7 @@
 
 // Guards against a new configuration that is never applied because its file could not be opened for a moment.
 TEST(Reload, AFileThatCanNotBeOpenedForAMomentIsReadAgain) {
-  faults::FaultSwitch faults;
+  faults::FaultInjector faults;
   ControllerOptions options;
   options.environment = faults.environment();
   ControllerProcess controller(options);
--- a/tests/store/power_cut_test.cpp
+++ b/tests/store/power_cut_test.cpp
@@ -66,7 +66,7 @@
 
 TEST_F(PowerCut, OfAKeepersLogAtEachStepLosesNothingAcknowledgedAndTearsNothing) {
   constexpr std::uint64_t kCommits = 120;
-  std::vector<Stored> states;      // after each commit
+  std::vector<StoredLog> states;   // after each commit
   std::vector<std::size_t> acked;  // number of steps made by then
   std::vector<DiskStep> steps;
   {
@@ -89,7 +89,7 @@
     const std::size_t done = commits_before(cut, acked);
     for (int variant = 0; variant < 3; ++variant, ++cuts) {
       LmdbStore found(new_folder_with(after_power_cut("", steps, cut, random)), kBytes);
-      const Stored stored = found.load();
+      const StoredLog stored = found.load();
       const bool next =
           done + 1 < states.size() && stored == states[done + 1] && states[done] != states[done + 1];
       ASSERT_TRUE(stored == states[done] || next) << "step " << cut << " after commit " << done;
@@ -104,11 +104,11 @@
 TEST_F(PowerCut, TenInARowLeaveAStoreThatGoesOn) {
   for (int round = 0; round < 20; ++round) {
     std::string file;
-    Stored known;
+    StoredLog known;
     std::uint64_t number = 0;
     for (int loss = 0; loss < 10; ++loss) {
       const std::string before = file;
-      std::vector<Stored> states;
+      std::vector<StoredLog> states;
       std::vector<std::size_t> acked;
       std::vector<DiskStep> steps;
       {
--- a/tests/unit/admin_command_test.cpp
+++ b/tests/unit/admin_command_test.cpp
@@ -13,7 +13,7 @@
     std::string line = format_admin_command(command);
     ASSERT_EQ(line.back(), '\n');
     line.pop_back();
-    const auto read = parse_admin(line, why);
+    const auto read = parse_admin_command(line, why);
     ASSERT_TRUE(read) << why;
     EXPECT_EQ(read->kind, command.kind);
     EXPECT_EQ(read->level, command.level);
@@ -26,7 +26,7 @@
        {"", "stat", "status now", "level", "level set x", "level set x 0", "level set x 86401",
         "level set x -5", "level set x 10s", "level unset x 10", "level set x 10 y"}) {
     std::string why;
-    EXPECT_FALSE(parse_admin(line, why)) << line;
+    EXPECT_FALSE(parse_admin_command(line, why)) << line;
     EXPECT_FALSE(why.empty()) << line;
   }
 }
--- a/tests/unit/buffer_pool_test.cpp
+++ b/tests/unit/buffer_pool_test.cpp
@@ -60,10 +60,10 @@
   const char* first = nullptr;
   {
     BufferChain chain(pool);
-    first = chain.room().data();
+    first = chain.writable_span().data();
   }
   BufferChain again(pool);
-  EXPECT_EQ(again.room().data(), first);
+  EXPECT_EQ(again.writable_span().data(), first);
 }
 
 TEST_F(Buffers, ThePoolIsLowBeforeItIsEmpty) {
--- a/tests/unit/config_test.cpp
+++ b/tests/unit/config_test.cpp
@@ -45,9 +45,9 @@
   EXPECT_EQ(c.change_log, (core::Address{"10.2.0.1", 9092}));
   EXPECT_EQ(c.settings.gateways, 3);
   EXPECT_EQ(c.connect_timeout, 250'000);
-  ASSERT_EQ(c.known.changes.size(), 1U);
-  EXPECT_TRUE(c.known.changes[0].complete);
-  const auto& e = c.known.changes[0].engines.at(0);
+  ASSERT_EQ(c.initial_engine_list.changes.size(), 1U);
+  EXPECT_TRUE(c.initial_engine_list.changes[0].complete);
+  const auto& e = c.initial_engine_list.changes[0].engines.at(0);
   EXPECT_EQ(e.entry.id, "s-1");
   EXPECT_EQ(e.entry.zone, "east");
   EXPECT_EQ(e.entry.kind, "std");
@@ -75,9 +75,10 @@
     return config("\"10.0.0.4:1\"", settings);
   };
   EXPECT_EQ(parse_error(with(R"("whenShort":"overcommit",)")), "none");
-  EXPECT_EQ(parse_controller_config(with(R"("whenShort":"overcommit",)")).settings.when_short,
-            WhenShort::kPage);
-  EXPECT_EQ(parse_controller_config(config()).settings.when_short, WhenShort::kWait);  // the default
+  EXPECT_EQ(parse_controller_config(with(R"("whenShort":"overcommit",)")).settings.memory_shortage_policy,
+            MemoryShortagePolicy::kOvercommit);
+  EXPECT_EQ(parse_controller_config(config()).settings.memory_shortage_policy,
+            MemoryShortagePolicy::kWait);  // the default
   EXPECT_NE(parse_error(with(R"("whenShort":"page",)")).find("domain.whenShort"), std::string::npos);
   EXPECT_NE(parse_error(with(R"("progressPace":-5,)")).find("domain.progressPace"), std::string::npos);
   EXPECT_NE(parse_error(with(R"("kindMemoryMb":[-1],)")).find("domain.sizeCores"), std::string::npos);
@@ -88,7 +89,7 @@
 }
 
 TEST(FleetChanges, ReadsEventsInOrderAndPassesOverOtherKinds) {
-  const auto c = parse_fleet_changes(
+  const auto c = parse_engine_list_events(
       R"({"seq":5,"results":[{"seq":3,"fleet":{"complete":false,"members":[{"id":"a","host_port":"10.0.0.1:1",)"
       R"("phase":"terminating"}]}},{"seq":4,"later":{}},{"seq":5,"fleet":{"members":[{"id":"a","phase":"terminated"}]}}]})");
   EXPECT_EQ(c.last, 5U);
@@ -99,7 +100,7 @@
 }
 
 TEST(FleetChanges, AMemberThatCannotBeUsedIsLeftOut) {
-  const auto c = parse_fleet_changes(
+  const auto c = parse_engine_list_events(
       R"({"seq":1,"results":[{"seq":1,"fleet":{"members":[7,{"id":"a"},{"id":"b","phase":"odd","host_port":"10.0.0.1:1"},)"
       R"({"id":"c","phase":"in_service","host_port":"x"},{"id":3,"phase":"in_service"},)"
       R"({"id":"d","phase":"in_service","host_port":"10.0.0.1:1"}]}}]})");
@@ -108,10 +109,10 @@
 }
 
 TEST(FleetChanges, WhatIsNoListIsRefused) {
-  EXPECT_THROW(parse_fleet_changes("no json"), FieldError);
-  EXPECT_THROW(parse_fleet_changes("[]"), FieldError);
-  EXPECT_THROW(parse_fleet_changes(R"({"seq":-1})"), FieldError);
-  EXPECT_THROW(parse_fleet_changes(R"({"seq":1,"results":{}})"), FieldError);
+  EXPECT_THROW(parse_engine_list_events("no json"), FieldError);
+  EXPECT_THROW(parse_engine_list_events("[]"), FieldError);
+  EXPECT_THROW(parse_engine_list_events(R"({"seq":-1})"), FieldError);
+  EXPECT_THROW(parse_engine_list_events(R"({"seq":1,"results":{}})"), FieldError);
 }
 
 TEST(Address, IsAnIpv4AddressAndAPort) {
--- a/tests/unit/connection_end_test.cpp
+++ b/tests/unit/connection_end_test.cpp
@@ -19,9 +19,9 @@
 
 const std::map<ConnectionEnd, Expected> kExpected = {
     {ConnectionEnd::kRefused, {OutcomeKind::kConnectFailed, OutcomeKind::kReset, false}},
-    {ConnectionEnd::kNotUpInTime, {OutcomeKind::kConnectFailed, OutcomeKind::kReset, false}},
+    {ConnectionEnd::kConnectTimeout, {OutcomeKind::kConnectFailed, OutcomeKind::kReset, false}},
     {ConnectionEnd::kUnreachable, {OutcomeKind::kConnectFailed, OutcomeKind::kReset, false}},
-    {ConnectionEnd::kNoDescriptor, {OutcomeKind::kMoot, OutcomeKind::kReset, false}},
+    {ConnectionEnd::kNoDescriptor, {OutcomeKind::kNotSent, OutcomeKind::kReset, false}},
     {ConnectionEnd::kResetUnsent, {OutcomeKind::kConnectFailed, OutcomeKind::kReset, false}},
     {ConnectionEnd::kResetUnanswered, {OutcomeKind::kReset, OutcomeKind::kReset, true}},
     {ConnectionEnd::kResetMidAnswer, {OutcomeKind::kReset, OutcomeKind::kReset, true}},
@@ -35,21 +35,21 @@
     {ConnectionEnd::kDropped, {OutcomeKind::kCancelled, OutcomeKind::kCancelled, true}},
     {ConnectionEnd::kIdleExpired, {OutcomeKind::kConnectFailed, OutcomeKind::kReset, false}},
     {ConnectionEnd::kAttemptOver, {OutcomeKind::kConnectFailed, OutcomeKind::kReset, false}},
-    {ConnectionEnd::kTooMuch, {OutcomeKind::kReset, OutcomeKind::kReset, true}},
-    {ConnectionEnd::kMadeRoom, {OutcomeKind::kReset, OutcomeKind::kReset, true}},
-    {ConnectionEnd::kMoved, {OutcomeKind::kReset, OutcomeKind::kReset, true}},
+    {ConnectionEnd::kLimitExceeded, {OutcomeKind::kReset, OutcomeKind::kReset, true}},
+    {ConnectionEnd::kEvicted, {OutcomeKind::kReset, OutcomeKind::kReset, true}},
+    {ConnectionEnd::kAddressChanged, {OutcomeKind::kReset, OutcomeKind::kReset, true}},
     {ConnectionEnd::kShutDown, {OutcomeKind::kReset, OutcomeKind::kReset, true}},
-    {ConnectionEnd::kNoIntent, {OutcomeKind::kConnectFailed, OutcomeKind::kReset, false}},
-    {ConnectionEnd::kKeyRests, {OutcomeKind::kConnectFailed, OutcomeKind::kReset, false}},
-    {ConnectionEnd::kWithdrawn, {OutcomeKind::kMoot, OutcomeKind::kReset, false}},
+    {ConnectionEnd::kIntentNotStored, {OutcomeKind::kConnectFailed, OutcomeKind::kReset, false}},
+    {ConnectionEnd::kKeyHeld, {OutcomeKind::kConnectFailed, OutcomeKind::kReset, false}},
+    {ConnectionEnd::kWithdrawn, {OutcomeKind::kNotSent, OutcomeKind::kReset, false}},
 };
 
 bool proves_that_nothing_ran(OutcomeKind kind) {
-  return kind == OutcomeKind::kFull || kind == OutcomeKind::kConnectFailed || kind == OutcomeKind::kMoot;
+  return kind == OutcomeKind::kFull || kind == OutcomeKind::kConnectFailed || kind == OutcomeKind::kNotSent;
 }
 
 TEST(ConnectionEnd, EachHasItsMeaning) {
-  EXPECT_EQ(kExpected.size(), kConnectionEnds);
+  EXPECT_EQ(kExpected.size(), kConnectionEndCount);
   for (const auto& [end, expected] : kExpected) {
     EXPECT_EQ(outcome_of(end, false), expected.first_call) << name_of(end);
     EXPECT_EQ(outcome_of(end, true), expected.later_call) << name_of(end);
@@ -58,7 +58,7 @@
 }
 
 TEST(ConnectionEnd, WhatMayHaveRunIsNeverTakenForWhatDidNot) {
-  for (std::size_t i = 0; i < kConnectionEnds; ++i) {
+  for (std::size_t i = 0; i < kConnectionEndCount; ++i) {
     const auto end = static_cast<ConnectionEnd>(i);
     EXPECT_FALSE(proves_that_nothing_ran(outcome_of(end, true))) << name_of(end);
     const bool proves = proves_that_nothing_ran(outcome_of(end, false));
@@ -68,8 +68,8 @@
 
 TEST(ConnectionEnd, EachHasANameOfItsOwn) {
   std::set<std::string> names;
-  for (std::size_t i = 0; i < kConnectionEnds; ++i) names.insert(name_of(static_cast<ConnectionEnd>(i)));
-  EXPECT_EQ(names.size(), kConnectionEnds);
+  for (std::size_t i = 0; i < kConnectionEndCount; ++i) names.insert(name_of(static_cast<ConnectionEnd>(i)));
+  EXPECT_EQ(names.size(), kConnectionEndCount);
   EXPECT_EQ(names.count("unknown"), 0U);
 }
 
--- a/tests/unit/event_queue_test.cpp
+++ b/tests/unit/event_queue_test.cpp
@@ -16,11 +16,11 @@
   queue.push(core::EnginesChanged{}, 40);
   queue.push(core::RequestAborted{1, 2}, 50);
   EXPECT_FALSE(queue.empty());
-  EXPECT_EQ(queue.next_news()->at, 40);
-  EXPECT_EQ(queue.next_news()->at, 20);
-  EXPECT_EQ(queue.next_news()->at, 50);
-  EXPECT_EQ(queue.next_news()->at, 30);
-  EXPECT_FALSE(queue.next_news().has_value());
+  EXPECT_EQ(queue.next_non_request()->at, 40);
+  EXPECT_EQ(queue.next_non_request()->at, 20);
+  EXPECT_EQ(queue.next_non_request()->at, 50);
+  EXPECT_EQ(queue.next_non_request()->at, 30);
+  EXPECT_FALSE(queue.next_non_request().has_value());
   EXPECT_EQ(queue.next_request()->at, 10);
   EXPECT_FALSE(queue.next_request().has_value());
   EXPECT_TRUE(queue.empty());
@@ -35,8 +35,8 @@
   queue.push(core::RequestArrived{2, 2, std::nullopt, ""}, 40);
   queue.push(core::ClientClosed{1}, 50);
   queue.push(core::RequestAborted{2, 1}, 60);
-  EXPECT_EQ(queue.next_news()->at, 50);
-  EXPECT_EQ(queue.next_news()->at, 60);
+  EXPECT_EQ(queue.next_non_request()->at, 50);
+  EXPECT_EQ(queue.next_non_request()->at, 60);
   EXPECT_EQ(queue.next_request()->at, 40);
   EXPECT_FALSE(queue.next_request().has_value());
 }
@@ -75,7 +75,7 @@
   queue.push(list(ListKind::kStored, {{"a", kInService}, {"b", kInService}}), 10);
   queue.push(list(ListKind::kDelta, {{"c", kInService}, {"b", kGone}}), 10);
   queue.push(list(ListKind::kDelta, {{"c", kDraining}}), 10);
-  const auto first = queue.next_news();
+  const auto first = queue.next_non_request();
   ASSERT_TRUE(first.has_value());
   const auto& change = std::get<core::EnginesChanged>(first->event);
   EXPECT_EQ(change.kind, ListKind::kStored);
@@ -91,7 +91,7 @@
   EventQueue queue;
   queue.push(list(ListKind::kDelta, {{"a", kInService}}), 10);
   queue.push(list(ListKind::kFull, {{"b", kInService}}), 20);
-  const auto first = queue.next_news();
+  const auto first = queue.next_non_request();
   ASSERT_TRUE(first.has_value());
   const auto& change = std::get<core::EnginesChanged>(first->event);
   EXPECT_EQ(change.kind, ListKind::kFull);
@@ -103,7 +103,7 @@
 TEST(EventQueue, KeepsTheOrderWithinAKind) {
   EventQueue queue;
   for (TimeUs at = 1; at <= 3; ++at) queue.push(core::CallEnded{}, at);
-  for (TimeUs at = 1; at <= 3; ++at) EXPECT_EQ(queue.next_news()->at, at);
+  for (TimeUs at = 1; at <= 3; ++at) EXPECT_EQ(queue.next_non_request()->at, at);
 }
 
 }  // namespace
--- a/tests/unit/http_test.cpp
+++ b/tests/unit/http_test.cpp
@@ -20,7 +20,7 @@
 
 // What the parser made of some bytes; `remaining`: those after the response.
 struct ParsedResponse {
-  Result result = Result::kMore;
+  Result result = Result::kNeedMore;
   int status = 0;
   std::string body;
   std::string remaining;
@@ -30,7 +30,7 @@
 ParsedResponse parse_in_steps(const std::string& bytes, std::size_t step, std::size_t body_most = 6000) {
   ResponseParser parser(body_most);
   ParsedResponse out;
-  for (std::size_t at = 0; at < bytes.size() && out.result == Result::kMore; at += step) {
+  for (std::size_t at = 0; at < bytes.size() && out.result == Result::kNeedMore; at += step) {
     std::string_view part = std::string_view(bytes).substr(at, step);
     while (true) {
       out.result = parser.feed(part);
@@ -64,7 +64,7 @@
 
 TEST(ResponseParser, EveryTruncationWantsMore) {
   for (std::size_t n = 0; n < kOkResponse.size(); ++n)
-    EXPECT_EQ(parse_in_steps(kOkResponse.substr(0, n), 7).result, Result::kMore) << n;
+    EXPECT_EQ(parse_in_steps(kOkResponse.substr(0, n), 7).result, Result::kNeedMore) << n;
 }
 
 TEST(ResponseParser, ReadsAnswersWithoutABody) {
@@ -144,8 +144,8 @@
   }
 }
 
-core::StartCall call_of(CallKind kind) {
-  core::StartCall call;
+core::SendCall call_of(CallKind kind) {
+  core::SendCall call;
   call.kind = kind;
   call.address = {"127.0.0.5", 7001};
   call.reference = "9b1f03aa5c7e2d41";
@@ -166,7 +166,7 @@
 }
 
 TEST(EngineCalls, AStartCarriesTheFieldsUnchanged) {
-  core::StartCall call = call_of(CallKind::kStart);
+  core::SendCall call = call_of(CallKind::kStart);
   call.idempotency_key = "5c0f6e1a2b3d4c59a8b7c6d5e4f30211";
   call.grant_mb = 96.7;
   call.priority = 3;
@@ -196,14 +196,14 @@
 
 TEST(EngineCalls, TheOtherCalls) {
   std::string body;
-  EXPECT_EQ(parse_with_poco(write_call(call_of(CallKind::kNews), 0), body).getURI(),
+  EXPECT_EQ(parse_with_poco(write_call(call_of(CallKind::kPoll), 0), body).getURI(),
             "/v2/q/9b1f03aa5c7e2d41/0");
   EXPECT_EQ(parse_with_poco(write_call(call_of(CallKind::kPage), 0), body).getURI(),
             "/v2/q/9b1f03aa5c7e2d41/3");
-  const auto give_up = parse_with_poco(write_call(call_of(CallKind::kGiveUp), 0), body);
+  const auto give_up = parse_with_poco(write_call(call_of(CallKind::kCancel), 0), body);
   EXPECT_EQ(give_up.getMethod(), "DELETE");
   EXPECT_EQ(give_up.getURI(), "/v2/q/9b1f03aa5c7e2d41");
-  core::StartCall priority = call_of(CallKind::kPriority);
+  core::SendCall priority = call_of(CallKind::kPriority);
   priority.priority = 2;
   const auto put = parse_with_poco(write_call(priority, 0), body);
   EXPECT_EQ(put.getMethod(), "PUT");
@@ -221,9 +221,9 @@
     head.headers = std::move(headers);
     net::BufferChain chain(pool);
     chain.append(rows);
-    RowCheck check;
+    RowValidator check;
     check.feed(rows);
-    return read_answer(kind, head, std::make_unique<net::ChainPayload>(std::move(chain)), check.whole());
+    return read_answer(kind, head, std::make_unique<net::ChainPayload>(std::move(chain)), check.valid());
   }
   metrics::Counters counters;
   net::BufferPool pool{100, counters};
@@ -235,8 +235,8 @@
   ASSERT_TRUE(a.has_value());
   EXPECT_EQ(a->kind, CallAnswer::Kind::kServed);
   EXPECT_EQ(a->pages, 2);
-  EXPECT_EQ(a->told_cost, 812'500);
-  EXPECT_EQ(a->told_memory_mb, 90);
+  EXPECT_EQ(a->reported_cost, 812'500);
+  EXPECT_EQ(a->reported_memory_mb, 90);
   EXPECT_EQ(a->rows->size(), 6U);
 }
 
@@ -244,14 +244,14 @@
   using Kind = CallAnswer::Kind;
   const std::vector<std::pair<std::string, std::string>> not_begun = {{"not-begun", "1"}};
   EXPECT_EQ(answer(CallKind::kStart, 503, not_begun)->kind, Kind::kFull);
-  EXPECT_EQ(answer(CallKind::kStart, 504, not_begun)->kind, Kind::kOver);
+  EXPECT_EQ(answer(CallKind::kStart, 504, not_begun)->kind, Kind::kExpired);
   EXPECT_EQ(answer(CallKind::kStart, 503)->kind, Kind::kError);
   EXPECT_EQ(answer(CallKind::kStart, 504)->kind, Kind::kError);
   EXPECT_EQ(answer(CallKind::kStart, 503, {{"not-begun", "0"}})->kind, Kind::kError);
-  EXPECT_EQ(answer(CallKind::kNews, 500)->kind, Kind::kError);
-  EXPECT_EQ(answer(CallKind::kNews, 404)->kind, Kind::kError);
-  EXPECT_EQ(answer(CallKind::kNews, 202)->kind, Kind::kNotYet);
-  EXPECT_EQ(answer(CallKind::kGiveUp, 204)->kind, Kind::kDone);
+  EXPECT_EQ(answer(CallKind::kPoll, 500)->kind, Kind::kError);
+  EXPECT_EQ(answer(CallKind::kPoll, 404)->kind, Kind::kError);
+  EXPECT_EQ(answer(CallKind::kPoll, 202)->kind, Kind::kPending);
+  EXPECT_EQ(answer(CallKind::kCancel, 204)->kind, Kind::kDone);
   EXPECT_EQ(answer(CallKind::kPriority, 500)->kind, Kind::kDone);
   EXPECT_EQ(answer(CallKind::kPage, 200, {{"x-page", "4"}}, "a\tb\tc\n")->page, 4);
 }
@@ -270,27 +270,27 @@
   const auto a = answer(CallKind::kStart, 200,
                         {{"x-pages", "1"}, {"x-cost-ms", "nan"}, {"x-needed-mb", "-3"}}, "a\tb\tc\n");
   ASSERT_TRUE(a.has_value());
-  EXPECT_FALSE(a->told_cost.has_value());
-  EXPECT_FALSE(a->told_memory_mb.has_value());
+  EXPECT_FALSE(a->reported_cost.has_value());
+  EXPECT_FALSE(a->reported_memory_mb.has_value());
 }
 
 // Guards against noise and truncated rows behind a response head that is valid.
-TEST(RowCheck, TakesWholeRowsOnly) {
-  const auto whole = [](const std::vector<std::string>& pieces) {
-    RowCheck check;
+TEST(RowValidator, TakesWholeRowsOnly) {
+  const auto valid = [](const std::vector<std::string>& pieces) {
+    RowValidator check;
     for (const auto& piece : pieces) check.feed(piece);
-    return check.whole();
+    return check.valid();
   };
-  EXPECT_TRUE(whole({}));
-  EXPECT_TRUE(whole({"a\tb\tc\n"}));
-  EXPECT_TRUE(whole({"a\t", "\xc3\xa5\t\nd\te\tf", "\n"}));
-  EXPECT_TRUE(whole({"\t\t\n"}));
-  EXPECT_FALSE(whole({"a\tb\tc"}));
-  EXPECT_FALSE(whole({"a\tb\n"}));
-  EXPECT_FALSE(whole({"a\tb\tc\td\n"}));
-  EXPECT_FALSE(whole({"a\tb\tc\n", "x\n"}));
-  EXPECT_FALSE(whole({std::string("a\t\0\tc\n", 6)}));
-  EXPECT_FALSE(whole({"a\tb\x7f\tc\n"}));
+  EXPECT_TRUE(valid({}));
+  EXPECT_TRUE(valid({"a\tb\tc\n"}));
+  EXPECT_TRUE(valid({"a\t", "\xc3\xa5\t\nd\te\tf", "\n"}));
+  EXPECT_TRUE(valid({"\t\t\n"}));
+  EXPECT_FALSE(valid({"a\tb\tc"}));
+  EXPECT_FALSE(valid({"a\tb\n"}));
+  EXPECT_FALSE(valid({"a\tb\tc\td\n"}));
+  EXPECT_FALSE(valid({"a\tb\tc\n", "x\n"}));
+  EXPECT_FALSE(valid({std::string("a\t\0\tc\n", 6)}));
+  EXPECT_FALSE(valid({"a\tb\x7f\tc\n"}));
 }
 
 TEST(ChangeLogCalls, AsksForLaterEvents) {
--- a/tests/unit/log_and_counters_test.cpp
+++ b/tests/unit/log_and_counters_test.cpp
@@ -29,11 +29,11 @@
 
 TEST(Counters, ArePrintedALineEach) {
   metrics::Counters counters;
-  counters.taken = 12;
+  counters.accepted_queries = 12;
   counters.outcomes[static_cast<std::size_t>(OutcomeKind::kFull)] = 3;
   counters.engine_ends[static_cast<std::size_t>(core::ConnectionEnd::kRefused)] = 2;
-  counters.timers.add(10);
-  counters.timers.add(30);
+  counters.timer_lateness.add(10);
+  counters.timer_lateness.add(30);
   counters.buffers.set(9);
   counters.buffers.set(4);
   std::ostringstream out;
--- a/tests/unit/log_lines_test.cpp
+++ b/tests/unit/log_lines_test.cpp
@@ -24,7 +24,7 @@
 TEST(LogLines, AreJsonWhereWanted) {
   std::ostringstream out;
   Logger logger(out, Level::kInfo, "n\"3");
-  logger.choose({Level::kInfo, Format::kJson, {}});
+  logger.configure({Level::kInfo, Format::kJson, {}});
   logger.write(Level::kWarn, Component::kConfig, "bad\n\"file\"\xff",
                {{"line", std::int64_t{7}}, {"share", 0.5}});
   rapidjson::Document line;
@@ -50,10 +50,10 @@
 TEST(LogLines, AComponentHasALevelOfItsOwn) {
   std::ostringstream out;
   Logger logger(out, Level::kInfo, "n3");
-  Choice choice;
+  LogOptions choice;
   choice.components[static_cast<std::size_t>(Component::kNet)] = Level::kError;
   choice.components[static_cast<std::size_t>(Component::kCore)] = Level::kDebug;
-  logger.choose(choice);
+  logger.configure(choice);
   EXPECT_FALSE(logger.on(Level::kWarn, Component::kNet));
   EXPECT_TRUE(logger.on(Level::kDebug, Component::kCore));
   EXPECT_TRUE(logger.on(Level::kInfo, Component::kLimits));
--- a/tests/unit/module_test.cpp
+++ b/tests/unit/module_test.cpp
@@ -25,13 +25,13 @@
   void refuse(QueryId query, TimeUs retry_after) override { refused[query] = retry_after; }
   void fail(QueryId query) override { failed.insert(query); }
   void cancel(QueryId query, int attempt) override { cancelled.emplace_back(query, attempt); }
-  void set_terms(QueryId query, int priority, double grant_mb) override {
+  void set_priority_and_grant(QueryId query, int priority, double grant_mb) override {
     priority_and_grant_mb[query] = {priority, grant_mb};
   }
   void probe(const EngineId&) override {}
   void subscribe() override { ++subscription_count; }
   void fetch_list() override {}
-  void tell_all(const std::string&) override {}
+  void broadcast_to_peers(const std::string&) override {}
   void set_timer(TimeUs delay, std::uint64_t token) override { timers.emplace(now + delay, token); }
   void log(const std::string&) override {}
 
@@ -48,8 +48,8 @@
 ClassSettings default_class() {
   ClassSettings result;
   result.name = "short";
-  result.aim = 1 * kSecond;
-  result.aim_stretch = 2;
+  result.latency_target = 1 * kSecond;
+  result.latency_target_runtime_factor = 2;
   result.deadline = 5 * kSecond;
   result.effect = Effect::kIdempotent;
   result.repeat_window = 3 * kSecond;
@@ -120,7 +120,7 @@
     outcome.kind = kind;
     outcome.latency = sink.now - reported.at;
     outcome.ended = kind == OutcomeKind::kOk;
-    if (reported_cost > 0) outcome.told_cost = reported_cost;
+    if (reported_cost > 0) outcome.reported_cost = reported_cost;
     module->on_outcome(sink.now, outcome, sink);
   }
 
@@ -240,7 +240,7 @@
 // --- Rule 1 of docs/design.md: each query gets one final answer, in time ---
 
 TEST_F(WorkloadBudgetTest, ShortTimeBudgetIsAnsweredBeforeItEnds) {
-  settings.classes[0].aim = 4 * kSecond;
+  settings.classes[0].latency_target = 4 * kSecond;
   create_module(0);
   Query query = make_query(1);
   query.time_budget = 300 * kMs;
@@ -330,7 +330,7 @@
   }
   const bool may_have_run = test_case.outcome != OutcomeKind::kFull &&
                             test_case.outcome != OutcomeKind::kConnectFailed &&
-                            test_case.outcome != OutcomeKind::kMoot;
+                            test_case.outcome != OutcomeKind::kNotSent;
   for (size_t i = 1; i < sink.sent.size(); ++i) {
     const auto repeat_engine = std::find_if(engine_list.begin(), engine_list.end(),
                                             [&](auto& entry) { return entry.id == sink.sent[i].engine; });
@@ -369,11 +369,11 @@
                       EffectCase{kAtMostOnce, RepeatScope::kAll, OutcomeKind::kCancelled, false, false},
                       EffectCase{kAtMostOnce, RepeatScope::kAll, OutcomeKind::kFull, true, true},
                       EffectCase{kAtMostOnce, RepeatScope::kAll, OutcomeKind::kConnectFailed, true, true},
-                      EffectCase{kAtMostOnce, RepeatScope::kAll, OutcomeKind::kMoot, true, true}));
+                      EffectCase{kAtMostOnce, RepeatScope::kAll, OutcomeKind::kNotSent, true, true}));
 
 TEST_F(WorkloadBudgetTest, KeyedQueryIsNotSentAgainOnceTheRepeatWindowHasPassed) {
   settings.classes[0].effect = Effect::kDeduplicated;
-  settings.classes[0].aim = 5 * kSecond;
+  settings.classes[0].latency_target = 5 * kSecond;
   settings.classes[0].repeat_window = 1 * kSecond;
   create_module(3);
   submit(make_query(1));
@@ -406,10 +406,10 @@
 
 TEST_F(WorkloadBudgetTest, AColdEngineGetsNoMoreThanItsPartInAnyWindow) {
   settings.gateways = 4;
-  settings.rules.fall_multiple = 2;
-  settings.rules.fall_window = 2 * kSecond;
-  settings.rules.cold_from = 0.3;
-  settings.rules.cold_for = 10 * kSecond;
+  settings.rules.overload_multiple = 2;
+  settings.rules.overload_window = 2 * kSecond;
+  settings.rules.slow_start_initial_capacity = 0.3;
+  settings.rules.slow_start_duration = 10 * kSecond;
   sink.now = 100 * kSecond;
   create_module(1, 100 * kSecond);
   for (QueryId i = 1; i <= 200; ++i) {
@@ -422,10 +422,10 @@
 }
 
 TEST_F(WorkloadBudgetTest, AnEngineBackWithANewStartTimeIsColdAgain) {
-  settings.rules.fall_multiple = 2;
-  settings.rules.fall_window = 1 * kSecond;
-  settings.rules.cold_from = 0.3;
-  settings.rules.cold_for = 10 * kSecond;
+  settings.rules.overload_multiple = 2;
+  settings.rules.overload_window = 1 * kSecond;
+  settings.rules.slow_start_initial_capacity = 0.3;
+  settings.rules.slow_start_duration = 10 * kSecond;
   sink.now = 100 * kSecond;
   create_module(1, 0);
   engine_list[0].started_at = sink.now;
@@ -441,7 +441,7 @@
 // No deployment asks for order at present. A class that did would have its order broken without any sign of
 // it, so such settings are rejected.
 TEST_F(WorkloadBudgetTest, AClassThatAsksForOrderIsRefusedAtTheStart) {
-  settings.classes[0].in_order = true;
+  settings.classes[0].serial_by_key = true;
   EXPECT_THROW(make_workload_budget(settings, 7), std::invalid_argument);
 }
 
@@ -477,10 +477,10 @@
 // --- Rule 7: attempts beyond the first come out of a retry budget ---
 
 TEST_F(WorkloadBudgetTest, FurtherAttemptsStayWithinTheRation) {
-  settings.rules.attempts_rationed = true;
-  settings.rules.extra_free = 2;
-  settings.rules.extra_share = 0.2;
-  settings.rules.extra_window = 10 * kSecond;
+  settings.rules.has_retry_budget = true;
+  settings.rules.retry_budget_floor = 2;
+  settings.rules.retry_budget_share = 0.2;
+  settings.rules.retry_budget_window = 10 * kSecond;
   create_module(5);
   for (QueryId i = 1; i <= 20; ++i) submit(make_query(i, i));
   ASSERT_EQ(sink.sent.size(), 20u);
@@ -572,7 +572,7 @@
 // The only engine was late for a moment and became suspect. 200 queries then waited 30 s for it, because only
 // a query without an earlier attempt was allowed as its trial.
 TEST_F(WorkloadBudgetTest, AQueryWhoseAttemptWasCancelledIsSentToTheOnlyEngineAgain) {
-  settings.classes[0].aim = 30 * kSecond;
+  settings.classes[0].latency_target = 30 * kSecond;
   settings.classes[0].deadline = 60 * kSecond;
   create_module(1);
   Query query = make_query(1);
@@ -592,7 +592,7 @@
     sink = RecordingSink();
     engine_list.clear();
     settings.classes[0].effect = Effect::kAtMostOnce;
-    settings.classes[0].aim = 30 * kSecond;
+    settings.classes[0].latency_target = 30 * kSecond;
     settings.classes[0].deadline = 60 * kSecond;
     create_module(1);
     Query query = make_query(1);
@@ -610,7 +610,7 @@
 
 TEST_F(WorkloadBudgetTest, AQueryIsNotSentToASuspectEngineAgainWhileAnotherEngineIsNotSuspect) {
   settings.limits.max_attempts = 9;
-  settings.classes[0].aim = 30 * kSecond;
+  settings.classes[0].latency_target = 30 * kSecond;
   settings.classes[0].deadline = 60 * kSecond;
   create_module(2);
   Query query = make_query(1);
@@ -678,10 +678,10 @@
 
 TEST_F(WorkloadBudgetTest, AColdEngineGetsNoMoreThanTheLeaseLeavesAndNothingWithoutOne) {
   settings.gateways = 4;  // from the settings; a lease takes precedence over it
-  settings.rules.fall_multiple = 2;
-  settings.rules.fall_window = 2 * kSecond;
-  settings.rules.cold_from = 0.3;
-  settings.rules.cold_for = 10 * kSecond;
+  settings.rules.overload_multiple = 2;
+  settings.rules.overload_window = 2 * kSecond;
+  settings.rules.slow_start_initial_capacity = 0.3;
+  settings.rules.slow_start_duration = 10 * kSecond;
   std::vector<size_t> send_counts;
   for (const double part : {0.0, 0.125, 0.5}) {
     sink = RecordingSink();
@@ -703,9 +703,9 @@
 }
 
 TEST_F(WorkloadBudgetTest, FurtherAttemptsStayWithinTheFleetsPartToo) {
-  settings.rules.attempts_rationed = true;
-  settings.rules.extra_free = 10;
-  settings.rules.extra_window = 10 * kSecond;
+  settings.rules.has_retry_budget = true;
+  settings.rules.retry_budget_floor = 10;
+  settings.rules.retry_budget_window = 10 * kSecond;
   create_module(5);
   FleetShare share = make_fleet_share(1);
   share.further_attempts = 2;
@@ -745,7 +745,7 @@
 TEST_F(WorkloadBudgetTest, HeldQueriesAreSentAsSoonAsTheLeaseGrows) {
   settings.gateways = 4;
   settings.tenants = {{"a", 1, 100}};
-  settings.classes[0].aim = 30 * kSecond;
+  settings.classes[0].latency_target = 30 * kSecond;
   settings.classes[0].deadline = 60 * kSecond;
   create_module(1);
   module->on_share(sink.now, make_fleet_share(0.125), sink);
@@ -883,7 +883,7 @@
 // again.
 TEST_F(WorkloadBudgetTest, AnAttemptWhoseNotesTellABadPlanIsCancelledAndSentAgainOnce) {
   settings.progress_interval = 2 * kSecond;
-  settings.classes[0].aim = 3 * kSecond;
+  settings.classes[0].latency_target = 3 * kSecond;
   settings.classes[0].deadline = 20 * kSecond;
   create_module(4);
   Query query = make_query(1, 7);
@@ -926,7 +926,7 @@
 // Engines that admit every query and slow all of them once memory is exceeded were sent more than their
 // memory holds: without grants the gateway did not count memory.
 TEST_F(WorkloadBudgetTest, WhereEnginesPageWithoutGrantsEstimatedMemoryIsCounted) {
-  settings.when_short = WhenShort::kPage;
+  settings.memory_shortage_policy = MemoryShortagePolicy::kOvercommit;
   create_module(1);  // 16,000 MB
   Query query = make_query(1, 7);
   query.memory_mb = 9000;
@@ -958,10 +958,10 @@
 TEST_F(WorkloadBudgetTest, AColdEnginesAllowanceIsUsedByAllGatewaysTogetherAndNotPassed) {
   settings.gateways = 100;
   settings.rules = {};
-  settings.rules.cold_from = 0.3;
-  settings.rules.cold_for = 15 * kSecond;
-  settings.rules.fall_multiple = 4;
-  settings.rules.fall_window = 1 * kSecond;
+  settings.rules.slow_start_initial_capacity = 0.3;
+  settings.rules.slow_start_duration = 15 * kSecond;
+  settings.rules.overload_multiple = 4;
+  settings.rules.overload_window = 1 * kSecond;
   std::map<TimeUs, double> work_by_half_second;  // seconds of work, of all gateways
   for (settings.self = 0; settings.self < settings.gateways; ++settings.self) {
     sink = RecordingSink();
@@ -1164,7 +1164,7 @@
 // Incident r93ae0d: an attempt became overdue after a fixed 0.7 s, longer than the latency target itself, so
 // its query could only be refused.
 TEST_F(WorkloadBudgetTest, AQueryIsOverdueInTimeToGoElsewhereWhereAimsAreShort) {
-  settings.classes[0].aim = 300 * kMs;
+  settings.classes[0].latency_target = 300 * kMs;
   create_module(2);
   Query query = make_query(1);
   query.cost_estimate = 20 * kMs;
@@ -1178,7 +1178,7 @@
 // --- Discovery that needs a subscription, and settings ---
 
 TEST_F(WorkloadBudgetTest, AsksDiscoveryWhereItMustBeAskedAndAgainAfterAFailure) {
-  settings.must_ask_discovery = true;
+  settings.must_subscribe = true;
   create_module(1);
   EXPECT_EQ(sink.subscription_count, 1);
   module->on_engines(sink.now, ListKind::kError, {}, sink);
--- a/tests/unit/permission_test.cpp
+++ b/tests/unit/permission_test.cpp
@@ -31,7 +31,7 @@
   static EarlierAttempt may_have_run(TimeUs ago) { return {kNow - ago, false, true, "a", 1}; }
 
   ClassSettings query_class;
-  Limits limits;
+  PolicyLimits limits;
   EngineEntry engine;
   bool query_ended = false;
   TimeUs stop_at = kNow + kSecond;
@@ -57,7 +57,7 @@
   query_class.effect = Effect::kIdempotent;
   EarlierAttempt in_flight = may_have_run(kSecond);
   in_flight.in_flight = true;
-  EXPECT_EQ(start_denial({in_flight}), Denial::kAttemptOut);
+  EXPECT_EQ(start_denial({in_flight}), Denial::kAttemptInFlight);
   limits.second_copies = true;
   EXPECT_EQ(start_denial({in_flight}), Denial::kNone);
 }
@@ -77,7 +77,7 @@
   unsent.unsent = true;
   EXPECT_EQ(start_denial({unsent, unsent, unsent}), Denial::kNone);
   EXPECT_EQ(start_denial(std::vector<EarlierAttempt>(12, unsent)), Denial::kTooManyAttempts);
-  limits.unsent_attempts_count = true;
+  limits.count_unsent_attempts = true;
   EXPECT_EQ(start_denial({unsent, unsent}), Denial::kNone);
   EXPECT_EQ(start_denial({unsent, unsent, unsent}), Denial::kTooManyAttempts);
 }
@@ -106,8 +106,8 @@
 class EngineStart : public ::testing::Test {
  protected:
   EngineStart() {
-    rules.cold_from = 0.3;
-    rules.cold_for = 15 * kSecond;
+    rules.slow_start_initial_capacity = 0.3;
+    rules.slow_start_duration = 15 * kSecond;
   }
 
   static WallTime wall_now_plus(TimeUs offset) { return {kWallNow.unix_us + offset}; }
@@ -117,7 +117,7 @@
 
 TEST_F(EngineStart, AgeWithinTheBoundIsTakenFromTheWallClock) {
   EngineStarts starts(rules);
-  EXPECT_EQ(starts.instant_of("s", wall_now_plus(-kSecond), kWallNow, kNow), kNow - kSecond);
+  EXPECT_EQ(starts.start_time_of("s", wall_now_plus(-kSecond), kWallNow, kNow), kNow - kSecond);
 }
 
 // Whichever way the clock is wrong: an engine that has just started is not taken for one past its slow start,
@@ -125,7 +125,7 @@
 TEST_F(EngineStart, WrongWallClockMovesAStartNoFurtherThanTheBound) {
   for (const TimeUs clock_error : {-3600 * kSecond, -3 * kSecond, 3 * kSecond, 3600 * kSecond}) {
     EngineStarts starts(rules);
-    const TimeUs started_at = starts.instant_of("s", kWallNow, wall_now_plus(clock_error), kNow);
+    const TimeUs started_at = starts.start_time_of("s", kWallNow, wall_now_plus(clock_error), kNow);
     EXPECT_GE(started_at, kNow - starts.max_trusted_age()) << clock_error;
     EXPECT_LE(started_at, kNow) << clock_error;
   }
@@ -134,9 +134,9 @@
 
 TEST_F(EngineStart, SameStartKeepsItsTimeWhateverTheClocksSayLater) {
   EngineStarts starts(rules);
-  const TimeUs first = starts.instant_of("s", kWallNow, kWallNow, kNow);
-  EXPECT_EQ(starts.instant_of("s", kWallNow, wall_now_plus(-3600 * kSecond), kNow + kSecond), first);
-  EXPECT_EQ(starts.instant_of("s", wall_now_plus(kSecond), wall_now_plus(kSecond), kNow + kSecond),
+  const TimeUs first = starts.start_time_of("s", kWallNow, kWallNow, kNow);
+  EXPECT_EQ(starts.start_time_of("s", kWallNow, wall_now_plus(-3600 * kSecond), kNow + kSecond), first);
+  EXPECT_EQ(starts.start_time_of("s", wall_now_plus(kSecond), wall_now_plus(kSecond), kNow + kSecond),
             kNow + kSecond);
   starts.keep_only({});
   EXPECT_EQ(starts.size(), 0U);
@@ -146,7 +146,7 @@
 // started a long time back.
 TEST_F(EngineStart, StartBeforeThisMachinesBootIsNotALongTimeBack) {
   EngineStarts starts(rules);
-  EXPECT_GT(starts.instant_of("s", wall_now_plus(-3 * kSecond), kWallNow, kSecond), 0);
+  EXPECT_GT(starts.start_time_of("s", wall_now_plus(-3 * kSecond), kWallNow, kSecond), 0);
 }
 
 }  // namespace
--- a/tests/unit/thrift_test.cpp
+++ b/tests/unit/thrift_test.cpp
@@ -97,7 +97,7 @@
         frames.push_back(reader.frame());
     }
     ASSERT_EQ(frames, (std::vector<std::string>{"first", "x", std::string(300, 'y')})) << step;
-    EXPECT_FALSE(reader.inside());
+    EXPECT_FALSE(reader.in_frame());
   }
 }
 
@@ -107,10 +107,10 @@
   for (std::size_t n = 1; n < whole.size(); ++n) {
     FrameReader part(100);
     std::string_view bytes = std::string_view(whole).substr(0, n);
-    EXPECT_EQ(part.feed(bytes), FrameReader::Result::kMore);
-    EXPECT_TRUE(part.inside());
+    EXPECT_EQ(part.feed(bytes), FrameReader::Result::kNeedMore);
+    EXPECT_TRUE(part.in_frame());
   }
-  EXPECT_FALSE(reader.inside());
+  EXPECT_FALSE(reader.in_frame());
 }
 
 TEST(FrameReader, RefusesWhatIsTooLargeNegativeOrEmpty) {
@@ -134,7 +134,7 @@
   EXPECT_EQ(call->request->cost_estimate, 820'000);
   EXPECT_EQ(call->request->memory_mb, 96);
   EXPECT_EQ(call->request->statement, "select 1");
-  EXPECT_FALSE(call->request->repeat);
+  EXPECT_FALSE(call->request->is_retry);
   EXPECT_TRUE(call->request->idempotency_key.empty());
 }
 
@@ -146,7 +146,7 @@
   fields["unknown"] = "x";
   const auto call = read_call(invoke(fields, "s"));
   ASSERT_TRUE(call && call->request);
-  EXPECT_TRUE(call->request->repeat);
+  EXPECT_TRUE(call->request->is_retry);
   EXPECT_EQ(call->request->idempotency_key, "5c0f6e1a2b3d4c59a8b7c6d5e4f30211");
   EXPECT_EQ(call->request->cost_estimate, 0);
   EXPECT_EQ(call->request->memory_mb, 0);
@@ -189,7 +189,7 @@
   const auto one = read_call(abort.bytes());
   ASSERT_TRUE(one.has_value());
   EXPECT_EQ(one->kind, FrontCall::Kind::kAbort);
-  EXPECT_EQ(one->aborted, 3);
+  EXPECT_EQ(one->aborted_sequence, 3);
   EXPECT_FALSE(one->wants_answer);
   Message ping;
   ping.out().writeMessageBegin("ping", T_CALL, 6);
