--- a/src/base/system_call.h
+++ b/src/base/system_call.h
@@ -37,7 +37,7 @@
   kRetryNow,    // interrupted, or an error of a connection that has already ended
   kWouldBlock,  // the call would block
   kRetryLater,  // lack of a resource that may be freed later
-  kPermanent,   // permanent: the connection, or the start, has failed
+  kPermanent,   // the connection, or the start, has failed
 };
 
 namespace detail {
--- a/src/budget/holder.h
+++ b/src/budget/holder.h
@@ -55,7 +55,7 @@
   Parts part(std::size_t a) const { return parts_[a]; }  // of the last lease, even if it has expired
   int live() const { return live_; }
   int place() const { return place_; }
-  bool half_granted() const { return half_granted_; }  // see Grant::settled
+  bool half_granted() const { return half_granted_; }  // see Grant::half_granted
   Parts level() const { return level_; }               // of the fleet's ramp
 
  private:
--- a/src/budget/terms.h
+++ b/src/budget/terms.h
@@ -88,8 +88,8 @@
   int place = 0;             // index of this member among them, from 0
   std::vector<Parts> parts;  // by allowance, in addition to the cut-off parts
   Parts level = kFullLevel;  // of the ramp: limits the fleet to this share of the total, in parts per million
-  bool half_granted =
-      false;  // at least half of its target in each allowance: old leases do not block it any more
+  // At least half of its target in each allowance: old leases do not block it any more.
+  bool half_granted = false;
   bool operator==(const Grant&) const = default;
 };
 
--- a/src/core/events.h
+++ b/src/core/events.h
@@ -48,8 +48,8 @@
   RequestTag tag = 0;
   std::optional<ClientRequest> request;  // nullopt: the request is invalid
   std::string why;                       // if so, what is wrong with it
-  Reason refusal_reason =
-      Reason::kNone;  // not kNone: refuse it at once, as its connection accepts no new query
+  // Not kNone: refuse it at once, as its connection accepts no new query.
+  Reason refusal_reason = Reason::kNone;
 };
 
 struct RequestAborted {
--- a/src/decision/decision.h
+++ b/src/decision/decision.h
@@ -38,7 +38,7 @@
 
 struct ClassSettings {
   std::string name;
-  // The latency target of a query, within which an answer has its full value: `aim` plus
+  // The latency target of a query, within which an answer has its full value: `latency_target` plus
   // `latency_target_runtime_factor` times the expected run time.
   TimeUs latency_target = 0;
   double latency_target_runtime_factor = 0;
--- a/src/decision/engine_starts.cpp
+++ b/src/decision/engine_starts.cpp
@@ -12,8 +12,8 @@
 constexpr TimeUs kEarliestStart = 1;  // 0 stands for a start a long time back
 
 TimeUs max_trusted_age_for(const Rules& rules) {
-  if (rules.slow_start_initial_capacity >= 1)
-    return rules.slow_start_duration;  // no slow start: nothing depends on its age
+  // No slow start: nothing depends on its age.
+  if (rules.slow_start_initial_capacity >= 1) return rules.slow_start_duration;
   const double slow_start_part =
       rules.slow_start_initial_capacity * (kMaxCapacityError - 1) / (1 - rules.slow_start_initial_capacity);
   return std::min(rules.slow_start_duration,
--- a/src/fleet/agreed_log.h
+++ b/src/fleet/agreed_log.h
@@ -39,7 +39,7 @@
   virtual std::uint64_t term() const = 0;  // Raft term; never decreases, and has one leader at most
   virtual KeeperId leader() const = 0;     // 0: no leader is known
   // Starts to replicate `entry`. False: this keeper is not the leader, or the entry can't be accepted now.
-  // After true, `finished` will count the proposal.
+  // After true, `finished_proposals` will count the proposal.
   virtual bool propose(const Entry& entry) = 0;
   // How many of the entries proposed here are done with: applied, or abandoned, in which case it is unknown
   // whether they will be committed.
--- a/src/fleet/allowances.h
+++ b/src/fleet/allowances.h
@@ -46,9 +46,8 @@
 
   // Counts an accepted query; `cost` is its CPU time in microseconds.
   void query_accepted(TimeUs now, const std::string& tenant, TimeUs cost);
-  void set_engine_cores(double cores) {
-    cores_ = cores;
-  }  // sets the number of cores of all listed engines together
+  // Sets the number of cores of all listed engines together.
+  void set_engine_cores(double cores) { cores_ = cores; }
   // By allowance, in the order of `terms`: the parts needed beyond the cut-off part, which needs no lease.
   std::vector<budget::Parts> parts(TimeUs now, const budget::Terms& terms, const limits::FleetUsage& use);
 
--- a/src/fleet/fleet_config.h
+++ b/src/fleet/fleet_config.h
@@ -41,8 +41,8 @@
   bool keys = false;  // keys of queries that must not run twice are held by the keepers, for the whole fleet
   std::vector<KeeperEndpoint> keepers;
   std::string store;  // folder of a keeper's store
-  bool start_with_bad_store =
-      false;  // a keeper whose store can't be used starts as a member that is no keeper
+  // A keeper whose store can't be used starts as a member that is no keeper.
+  bool start_with_bad_store = false;
 
   // The keeper that runs in the controller of that name; null: none.
   const KeeperEndpoint* find_keeper(const std::string& controller) const {
--- a/src/fleet/member_role.h
+++ b/src/fleet/member_role.h
@@ -17,7 +17,7 @@
   // jitter of request times.
   MemberRole(budget::MemberKey self, budget::Terms own, std::vector<KeeperId> keepers, std::uint64_t seed);
 
-  // When the next request is due; it is to be sent to the keeper `asks()`.
+  // When the next request is due; it is to be sent to the keeper `keeper_to_ask()`.
   TimeUs next_due() const { return awaiting_reply_ ? reply_deadline_ : next_request_at_; }
   bool due(TimeUs now) const { return now >= next_due(); }
   KeeperId keeper_to_ask() const { return keepers_[current_keeper_]; }
--- a/src/fleet/messages.h
+++ b/src/fleet/messages.h
@@ -40,9 +40,9 @@
   std::uint64_t number = 0;
   budget::MemberKey from;
   KeeperId keeper = 0;
-  std::vector<KeeperId>
-      bootstrapped;  // from a keeper: the keepers, itself included, that it knows to have a log
-  LogProgress at;    // from a keeper: how far its log has come
+  // From a keeper: the keepers, itself included, that it knows to have a log.
+  std::vector<KeeperId> bootstrapped;
+  LogProgress at;  // from a keeper: how far its log has come
   bool operator==(const Hello&) const = default;
 };
 
--- a/src/keeper/keeper.cpp
+++ b/src/keeper/keeper.cpp
@@ -33,7 +33,7 @@
 }  // namespace
 
 // The callbacks of libraft. No exception may be thrown through its C code, so they only buffer writes; the
-// store commits them in `settle`.
+// store commits them in `flush`.
 struct Keeper::Impl {
   struct Proposal {  // one entry that was proposed here; freed in entry_done
     struct raft_apply raft {};
--- a/src/keeper/keeper.h
+++ b/src/keeper/keeper.h
@@ -2,7 +2,7 @@
 // storage are provided here, so that the same code runs with sockets and a disk, and in tests on a simulated
 // network, disk and clock. Only this package uses the library.
 //
-// Not thread-safe. `settle` may block while the store commits.
+// Not thread-safe. `flush` may block while the store commits.
 #pragma once
 
 #include <memory>
--- a/src/limits/limit_set.h
+++ b/src/limits/limit_set.h
@@ -28,9 +28,8 @@
                                                  std::string_view table, bool keyed) const;
 
   const std::vector<std::shared_ptr<const RouteLimits>>& routes() const { return routes_; }  // defaults last
-  const OptionalLocated<RetryBudgetSettings>& retries() const {
-    return retries_;
-  }  // the budget over all routes
+  // The budget over all routes.
+  const OptionalLocated<RetryBudgetSettings>& retries() const { return retries_; }
   int version() const { return version_; }
 
  private:
--- a/src/net/change_log.h
+++ b/src/net/change_log.h
@@ -74,7 +74,7 @@
   http::ResponseParser parser_;
   BufferChain unsent_;
   BufferChain body_;
-  TimeUs due_ = 0;  // excludes `Context::lost`, the time in which this process was stalled
+  TimeUs due_ = 0;  // excludes `Context::stalled_time`, the time in which this process was stalled
 };
 
 }  // namespace orchidgw::net
--- a/src/net/engine_connection.h
+++ b/src/net/engine_connection.h
@@ -69,8 +69,8 @@
   State state_ = State::kConnecting;
   std::optional<core::SendCall> call_;
   TimeUs connect_started_at_;
-  // Times that exclude `Context::lost`. Guards against counting a stall of this process as the engine's
-  // silence, while the engine's answer is unread.
+  // Times that exclude `Context::stalled_time`. Guards against counting a stall of this process as the
+  // engine's silence, while the engine's answer is unread.
   TimeUs connect_deadline_;
   TimeUs answer_deadline_;
   TimeUs last_read_at_ = 0;  // when bytes of an answer were last read
--- a/src/net/fleet_port.h
+++ b/src/net/fleet_port.h
@@ -36,8 +36,8 @@
   bool reply(std::uint64_t link, const fleet::Message& message);
   // Opens a connection to that keeper if there is none; both sides then exchange their Hello.
   void ensure_connection(fleet::KeeperId keeper);
-  void add_bootstrapped_keeper(
-      fleet::KeeperId keeper_id);  // for later Hellos: that keeper is known to have a log
+  // For later Hellos: that keeper is known to have a log.
+  void add_bootstrapped_keeper(fleet::KeeperId keeper_id);
   // For later Hellos: the position of this keeper's log.
   void set_log_progress(const fleet::LogProgress& at) { self_.at = at; }
   // Closes the connection to a keeper that does not answer; the next message to it goes over a new one.
--- a/src/promises/key_holder.h
+++ b/src/promises/key_holder.h
@@ -3,9 +3,9 @@
 //
 // All keys that one turn of the event loop wants go into one request. A key without a reply in time is
 // requested again, and a reply to any of these requests counts, by the time of that request. After a timeout
-// (`patience`) the key is given up, which is harmless because nothing was sent. The keepers may still grant
-// it, so it is released: the release is repeated until a keeper has replied, and goes with each request for
-// the same identity, so that no later want of this controller is applied before it.
+// (`answer_timeout`) the key is given up, which is harmless because nothing was sent. The keepers may still
+// grant it, so it is released: the release is repeated until a keeper has replied, and goes with each request
+// for the same identity, so that no later want of this controller is applied before it.
 #pragma once
 
 #include <map>
--- a/src/recovery/stages.h
+++ b/src/recovery/stages.h
@@ -27,7 +27,7 @@
   bool keeper_heard = false;  // any keeper has been heard from, including itself
   bool leader_known = false;
   bool leased = false;
-  bool half_granted = false;  // see budget::Grant::settled
+  bool half_granted = false;  // see budget::Grant::half_granted
   budget::Parts level = budget::kFullLevel;
   bool keys_settled = true;  // see KeyTable::settled; true if the fleet holds no keys
 };
--- a/src/thrift/fleet_codec.h
+++ b/src/thrift/fleet_codec.h
@@ -14,9 +14,10 @@
 
 inline constexpr std::size_t kMaxFleetFrameBytes = std::size_t{4} * 1024 * 1024;
 
-std::string encode_fleet_message(const fleet::Message& message);  // with the length of the frame before it
-std::optional<fleet::Message> decode_fleet_message(
-    std::string_view frame);  // without the length; nullopt: invalid
+// With the length of the frame before it.
+std::string encode_fleet_message(const fleet::Message& message);
+// `frame`: without the length. nullopt: invalid.
+std::optional<fleet::Message> decode_fleet_message(std::string_view frame);
 
 // What keepers store: entries of their log and snapshots of their state. Reading returns nullopt for bytes
 // that are invalid.
--- a/tests/budget/fleet_world.h
+++ b/tests/budget/fleet_world.h
@@ -4,7 +4,7 @@
 // Each message may be lost, duplicated, late or out of order. Members stop and restart without their state.
 // Clocks drift apart within the bound.
 //
-// `overdrawn` compares the parts that all processes use together with the total, after each step of a test.
+// `violation` compares the parts that all processes use together with the total, after each step of a test.
 #pragma once
 
 #include <optional>
--- a/tests/fleet/parts_test.cpp
+++ b/tests/fleet/parts_test.cpp
@@ -108,8 +108,8 @@
   Demand demand(s);
   EXPECT_EQ(demand.parts_in_use(kSecond, holder, {{"r", {9, 3, 0}}}),
             (std::vector<budget::Parts>{200'000, 100'000, 0, 0, 7}));
-  EXPECT_EQ(demand.parts_in_use(4 * kSecond, holder, {})[0],
-            200'000);  // the lease has expired, the window has not
+  // The lease has expired, the window has not.
+  EXPECT_EQ(demand.parts_in_use(4 * kSecond, holder, {})[0], 200'000);
   EXPECT_EQ(demand.parts_in_use(10 * kSecond, holder, {})[0], 0);
 }
 
@@ -160,8 +160,8 @@
   int taken = 0;
   while (bucket.ready(kSecond / 10)) bucket.take(kSecond / 10), ++taken;
   EXPECT_EQ(taken, 2);  // 20 per second, for a tenth of a second
-  bucket.change_keeping_tokens(10 * kSecond,
-                               limits::Rate{5, 2, true});  // a smaller bucket drops what exceeds it
+  // A smaller bucket drops what exceeds it.
+  bucket.change_keeping_tokens(10 * kSecond, limits::Rate{5, 2, true});
   taken = 0;
   while (bucket.ready(10 * kSecond)) bucket.take(10 * kSecond), ++taken;
   EXPECT_EQ(taken, 2);
