--- a/src/core/connection_end.h
+++ b/src/core/connection_end.h
@@ -32,7 +32,7 @@
   kShutDown,          // this process shuts down
   kIntentNotStored,   // never sent: the intent to send it could not be stored
   kKeyHeld,           // never sent: another query in the fleet holds its key and may have run
-  kWithdrawn,         // never sent: its engine drains or is gone, or its client has disconnected
+  kWithdrawn,         // never sent: no longer allowed, as when its engine drains or its client disconnects
 };
 inline constexpr std::size_t kConnectionEndCount = static_cast<std::size_t>(ConnectionEnd::kWithdrawn) + 1;
 
@@ -45,7 +45,7 @@
 // Whether the peer may have received the whole of a call that ended this way.
 bool may_have_arrived(ConnectionEnd end);
 
-// The outcome that the decision module is told when a call of an attempt ends this way. With
+// The outcome that the decision module gets when a call of an attempt ends this way. With
 // `may_have_started`, the engine may have the query from an earlier call: the end of a later call then cannot
 // prove that the query never ran.
 OutcomeKind outcome_of(ConnectionEnd end, bool may_have_started);
--- a/src/core/keys.h
+++ b/src/core/keys.h
@@ -12,7 +12,8 @@
 };
 
 // How long the key of a query of that class is held once the query is sent, so that it is not sent again: the
-// class's repeat window, for which engines remember a query, or its deadline where there is no such window.
+// class's repeat window, for which engines remember a query; where there is no such window its deadline, as
+// long as the query may run.
 inline TimeUs key_hold_of(const ClassSettings& c) {
   return c.repeat_window > 0 ? c.repeat_window : c.deadline;
 }
--- a/src/core/reducer.cpp
+++ b/src/core/reducer.cpp
@@ -277,7 +277,7 @@
   module_->on_share(now_, event.module, *this);
 }
 
-// Open requests whose deadline is later than the shutdown's end are answered at that end.
+// Open requests that would have time beyond `answer_by` are answered at that time.
 void Reducer::on(ShutdownBegun& event) {
   shutdown_answer_by_ = std::min(shutdown_answer_by_, event.answer_by);
   for (const auto& [key, id] : open_requests_)
--- a/src/core/reducer.h
+++ b/src/core/reducer.h
@@ -32,8 +32,9 @@
   TimeUs poll_hold = 250'000;           // an engine delays the answer to a start or a poll at most this long
   TimeUs engine_retention = 2'000'000;  // an engine drops a query that was not polled for this long
   TimeUs answer_grace = 100'000;        // a call without an answer this long after its hold counts as silent
-  TimeUs final_answer_grace = 20'000;  // a query without a final answer this long past its deadline is failed
-  int max_failed_calls = 8;            // an attempt is given up after this many failed calls in a row
+  // A query without a final answer this long past its time budget is failed.
+  TimeUs final_answer_grace = 20'000;
+  int max_failed_calls = 8;  // so many failed calls in a row are retried; one more gives the attempt up
   std::size_t max_result_bytes = 48'000;  // all pages of one result together
   std::size_t max_open_requests_per_client = 32;
 };
@@ -162,8 +163,8 @@
   void accept_request(RequestArrived& event, int class_index);
   void apply_verdict(QueryId id, const limits::Verdict& verdict);
   void pass_to_module(QueryId id);
-  // Refuses the request, which tells the client that a retry is harmless. If an attempt may have run, records
-  // a violation and fails the request instead. Does nothing for a request that has its answer.
+  // Refuses the request, which tells the client that a retry is harmless. Where may_refuse() does not allow
+  // that, records a violation and fails the request instead. Does nothing for a request that has its answer.
   void refuse_request(QueryId id, Reason reason, TimeUs retry_after);
   const ClassSettings& class_of(const QueryState& query) const {
     return settings_.classes[static_cast<std::size_t>(query.class_index)];
--- a/src/core/reducer_attempts.cpp
+++ b/src/core/reducer_attempts.cpp
@@ -172,7 +172,7 @@
   send_call(id, attempt_index, kind);
 }
 
-// An attempt that is given up stays open until its engine has confirmed it or has dropped the query by
+// An attempt that is given up stays in flight until its engine has confirmed it or has dropped the query by
 // itself, so that no second attempt runs beside it. Its outcome is reported then, or at the query's deadline.
 void Reducer::give_up(QueryId id, std::size_t attempt_index, OutcomeKind as) {
   AttemptState& attempt = attempt_at(id, attempt_index);
@@ -224,7 +224,7 @@
   conclude(id, attempt_index, attempt.give_up_outcome);
 }
 
-// Fails a request that has no final answer after its deadline, whatever kept the module from giving one.
+// Fails a request that has no final answer after its time budget, whatever kept the module from giving one.
 void Reducer::fail_overdue(QueryId id) {
   const QueryState* query = find_query(id);
   if (query == nullptr || query->ended) return;
@@ -313,16 +313,16 @@
   module_->on_outcome(now_, outcome, *this);
 }
 
-// Erases the state of queries that are answered and have no open attempt.
+// Erases the state of queries that are answered and have no attempt in flight.
 void Reducer::erase_finished_queries() {
   for (const QueryId id : queries_to_check_) {
     const auto it = queries_.find(id);
     if (it == queries_.end() || !it->second.ended) continue;
     const auto& attempts = it->second.attempts;
-    const bool query_ended = std::all_of(attempts.begin(), attempts.end(), [](const AttemptState& attempt) {
+    const bool all_concluded = std::all_of(attempts.begin(), attempts.end(), [](const AttemptState& attempt) {
       return attempt.phase == Phase::kConcluded && attempt.outcome_reported;
     });
-    if (!query_ended) continue;
+    if (!all_concluded) continue;
     limiter_.query_ended(now_, id);
     if (key_lookup_) release_key(id, it->second);
     statement_bytes_ -= it->second.request.statement.size();
--- a/src/decision/decision.h
+++ b/src/decision/decision.h
@@ -16,8 +16,8 @@
 using QueryId = std::uint32_t;  // unique for the life of a module instance
 using EngineId = std::string;   // opaque; the same at every gateway
 
-// What running a query twice does: nothing; nothing where the engines that got the first attempt drop the
-// second one (see RepeatScope); harm.
+// What running a query twice does: no harm; no harm at engines that recognise the repeat and drop it (see
+// RepeatScope); harm.
 enum class Effect { kIdempotent, kDeduplicated, kAtMostOnce };
 // Which engines recognise and drop a repeated query: all, those in the zone or those in the cell of the
 // engine that got the earlier attempt.
@@ -29,8 +29,9 @@
 // How an engine list relates to the one before: only the entries that changed, a complete list, the complete
 // list that was stored and is read at the start, or no list because fetching it failed.
 enum class ListKind { kDelta, kFull, kStored, kError };
-// How an attempt ended. kFull: the engine rejected it without running it, for want of capacity. kNotSent: it
-// was given up before anything of it was sent, for a reason other than a failed connect.
+// How an attempt ended. kFull: the engine rejected it without running it, for want of capacity or time.
+// kNotSent: nothing of it was sent, for a reason that says nothing about the engine; one that is cancelled
+// before it is sent ends as kCancelled.
 enum class OutcomeKind { kOk, kError, kFull, kTimeout, kConnectFailed, kReset, kCancelled, kNotSent };
 // What an engine reports of a running attempt: its progress, that it needs more memory than it was granted,
 // or that it waits.
@@ -87,10 +88,10 @@
   bool count_unsent_attempts = false;
 };
 
-// Rules that the deployment sets for all gateways; their numbers are those of docs/design.md.
+// Rules that the deployment sets for all gateways, numbered as in docs/design.md.
 struct Rules {
   TimeUs answer_slack = 0;
-  TimeUs drain_grace = 0;  // rule 3: so long after an engine began to drain, nothing may be sent to it
+  TimeUs drain_grace = 0;  // rule 3: from this long after an engine began to drain, nothing may be sent to it
   TimeUs ask_within = 0;
   // Slow start (rule 4): an engine's capacity grows linearly from the part `slow_start_initial_capacity` when
   // it starts to all of it after `slow_start_duration`. Until then all gateways together may send it, in any
--- a/src/decision/engine_starts.cpp
+++ b/src/decision/engine_starts.cpp
@@ -14,10 +14,10 @@
 TimeUs max_trusted_age_for(const Rules& rules) {
   // No slow start: nothing depends on its age.
   if (rules.slow_start_initial_capacity >= 1) return rules.slow_start_duration;
-  const double slow_start_part =
+  const double slow_start_progress =
       rules.slow_start_initial_capacity * (kMaxCapacityError - 1) / (1 - rules.slow_start_initial_capacity);
   return std::min(rules.slow_start_duration,
-                  static_cast<TimeUs>(slow_start_part * static_cast<double>(rules.slow_start_duration)));
+                  static_cast<TimeUs>(slow_start_progress * static_cast<double>(rules.slow_start_duration)));
 }
 
 }  // namespace
--- a/src/decision/shutdown_schedule.h
+++ b/src/decision/shutdown_schedule.h
@@ -17,7 +17,8 @@
   TimeUs end_by = 0;      // the process ends at the latest, whatever is still open
 };
 
-// `asked_at`: when SIGTERM was sent; all times are instants on its clock.
+// `asked_at`: when SIGTERM was sent, or the earliest time at which it can have been, where that is not known.
+// All times are instants on its clock.
 ShutdownSchedule shutdown_schedule(std::span<const ClassSettings> classes, TimeUs asked_at);
 
 }  // namespace orchidgw
--- a/src/decision/workload_budget.cpp
+++ b/src/decision/workload_budget.cpp
@@ -19,23 +19,26 @@
 
 // --- Constants: value, unit, reason -----------------------------------------------------------------------
 constexpr TimeUs kMs = 1000;
-constexpr TimeUs kBudgetWindow = 5'000 * kMs;  // CPU budgets are reset this often (DESIGN)
-constexpr double kMaxThreadsToMean = 1.25;     // bound: x this gateway's mean threads per engine (DESIGN)
-constexpr double kMaxThreadsPerCore = 2.0;     // bound: threads per core, all gateways together (DESIGN)
-constexpr double kHotSlowdownRatio = 1.5;      // x the mean slowdown; above: an engine's budget slices shrink
-constexpr double kPressureSlowdown = 2.0;      // above: thread bounds apply; answers take twice as long
+// Enforcement window: CPU budgets are reset this often (DESIGN).
+constexpr TimeUs kBudgetWindow = 5'000 * kMs;
+constexpr double kMaxThreadsToMean = 1.25;  // bound: x this gateway's mean threads per engine (DESIGN)
+constexpr double kMaxThreadsPerCore = 2.0;  // bound: threads per core, all gateways together (DESIGN)
+constexpr double kHotSlowdownRatio = 1.5;   // x the mean slowdown; above: an engine's budget slices shrink
+constexpr double kPressureSlowdown = 2.0;   // above: thread bounds apply; answers take twice as long
 // How long a "full" answer or a wait for memory counts as pressure.
 constexpr TimeUs kMemoryPressureTime = 1'000 * kMs;
-// Usable part of an engine's memory: factor per wait for memory, least part, recovery per tick.
+// Usable part of an engine's memory: factor per wait for memory, least part, recovery per tick; an engine's
+// slowdown returns to the mean at that rate too.
 constexpr double kMemoryShareShrink = 0.8, kMinMemoryShare = 0.3, kRecoveryPerTick = 0.004;
-// Least time before an answer is overdue; where no notes come, also this part of the latency target if less.
+// Least time before an answer is overdue; where engines send no notes, this part of the latency target if
+// that is less.
 constexpr double kMinAnswerWaitUs = 700 * kMs, kMinAnswerWaitPerTarget = 0.6;
-constexpr TimeUs kTickPeriod = 20 * kMs;        // expiry of queued queries, overdue attempts
-constexpr TimeUs kAnswerMargin = 60 * kMs;      // queued queries are answered this long before the deadline
-constexpr double kOverdueFactor = 4.0;          // x the class's present time: the answer counts as lost
-constexpr double kRunawayFactor = 4.0;          // x the class's present time by the pace of notes: a bad plan
-constexpr TimeUs kSilentNoteIntervals = 3;      // progress intervals without any message: silent
-constexpr TimeUs kTrialInterval = 1'500 * kMs;  // a suspect engine gets one trial query this often
+constexpr TimeUs kTickPeriod = 20 * kMs;    // expiry of queued queries, overdue attempts
+constexpr TimeUs kAnswerMargin = 60 * kMs;  // queued queries are answered this long before the deadline
+constexpr double kOverdueFactor = 4.0;      // x what its class takes now: the answer counts as lost
+constexpr double kRunawayFactor = 4.0;      // x what its class takes now, by the pace of notes: a bad plan
+constexpr TimeUs kSilentNoteIntervals = 3;  // progress intervals without any message: silent
+constexpr TimeUs kTrialInterval = 1'500 * kMs;    // a suspect engine gets one trial query this often
 constexpr double kTrialSpreadFraction = 2.0 / 3;  // of that interval: gateways' trials spread over it
 // Weight of one answer in an engine's averages; part of failed answers above which it is suspect.
 constexpr double kEngineEwmaWeight = 0.2, kSuspectErrorRate = 0.3;
@@ -77,7 +80,7 @@
   bool spilled = false;      // a note said that its memory did not suffice
   bool in_flight = true;     // no outcome yet
   bool overdue = false;      // its engine may still work
-  bool abandoned = false;    // its engine fell silent, or it was cancelled
+  bool abandoned = false;    // its notes stayed away or, without notes, it is overdue
   OutcomeKind outcome = OutcomeKind::kOk;
 };
 
@@ -198,7 +201,7 @@
   void on_query(TimeUs now, const Query& query, ActionSink& sink) override {
     ensure_started(now, sink);
     arrivals_.push_back(now);
-    // Guards against a retry budget over too late a window: a query that waited before is not new now.
+    // Guards against a retry budget over too late a window: a query that waited before was accepted earlier.
     if (settings_.rules.has_retry_budget && query.waited == 0) query_times_.push_back(now);
     const ClassSettings& query_class = settings_.classes.at(static_cast<size_t>(query.class_index));
     TrackedQuery& tracked = queries_[query.id];
@@ -355,8 +358,9 @@
                              : static_cast<double>(settings_.classes[class_index].latency_target) * 0.5;
   }
 
-  // Engines that page grant nothing: they let every query in and slow all of them once memory is used up.
-  // There the estimate of memory is counted as a grant would be (DESIGN: "memory may be checked likewise").
+  // Engines that overcommit grant nothing: they let every query in and slow all of them once memory is used
+  // up. There the estimate of memory is counted as a grant would be (DESIGN: "memory may be checked
+  // likewise").
   bool counts_memory() const {
     return settings_.grants || settings_.memory_shortage_policy == MemoryShortagePolicy::kOvercommit;
   }
@@ -409,7 +413,8 @@
     } else if (estimate_us > 0) {
       const double ratio = spent_us / estimate_us;
       if (stats.calm_ratio <= 0) stats.calm_ratio = ratio;
-      // Median without pressure: slower answers hardly move it, or a jam would pass for the normal state.
+      // Median without pressure: answers beyond the pressure slowdown hardly move it, or a time of overload
+      // would pass for the normal state.
       stats.calm_ratio *= std::exp(kCostEwmaWeight * (ratio < stats.calm_ratio                       ? -0.5
                                                       : ratio < kPressureSlowdown * stats.calm_ratio ? 0.5
                                                                                                      : 0.03));
@@ -431,15 +436,16 @@
       update_grant_multiple(stats, attempt, outcome.reported_memory_mb.value_or(0) > attempt.grant_mb);
   }
 
-  // Hundreds of gateways each hear an engine once in seconds: the first answer counts in full, later ones
-  // less.
+  // Each of hundreds of gateways hears from an engine only once in seconds: the first answer counts in full,
+  // later ones less.
   static void update_slowdown(Engine& engine, double slowdown) {
     engine.sample_count += 1;
     engine.slowdown += std::max(kEngineEwmaWeight, 1 / engine.sample_count) * (slowdown - engine.slowdown);
   }
 
   // --- CPU budgets ----------------------------------------------------------------------------------------
-  // An even share (DESIGN); where this gateway gets a larger part of the tenants' quotas, that part instead.
+  // An even share (DESIGN); where this gateway's arrivals are a larger part of the tenants' quotas, that part
+  // instead.
   void update_gateway_share(TimeUs now) {
     while (!arrivals_.empty() && arrivals_.front() < now - kBudgetWindow) arrivals_.pop_front();
     if (fleet_) return void(share_ = fleet_->bounds);
@@ -533,7 +539,8 @@
     return engine.used_threads <= std::min(mean_limit, std::max(core_limit, 0.0)) + 1e-9;
   }
 
-  // Memory is checked likewise (DESIGN leaves it open): queries wait here by value, not in the engine.
+  // Memory is checked likewise (DESIGN leaves it open): queries wait here in order of value, not in the
+  // engine.
   bool memory_allows(const TrackedQuery& tracked, const Engine& engine) {
     if (!counts_memory() || engine.memory_mb <= 0 || engine.granted_mb <= 0) return true;
     return engine.granted_mb + grant_mb_for(tracked, engine) <=
@@ -554,7 +561,7 @@
   }
 
   // The first usable engine of the group's order whose turn it is, else the nearest to that; null: none
-  // usable.
+  // usable, or the bounds over all engines do not allow the query.
   Engine* choose_engine(const TrackedQuery& tracked, TimeUs now) {
     Engine* best = nullptr;
     int best_rank = 0;
@@ -667,10 +674,10 @@
       query_times_.pop_front();
     while (!retry_times_.empty() && retry_times_.front() < now - settings_.rules.retry_budget_window)
       retry_times_.pop_front();
-    const double attempts_made = static_cast<double>(retry_times_.size()) + 1;
-    if (fleet_ && fleet_->further_attempts >= 0 && attempts_made > fleet_->further_attempts) return false;
-    return attempts_made <= settings_.rules.retry_budget_floor +
-                                settings_.rules.retry_budget_share * static_cast<double>(query_times_.size());
+    const double retries = static_cast<double>(retry_times_.size()) + 1;
+    if (fleet_ && fleet_->further_attempts >= 0 && retries > fleet_->further_attempts) return false;
+    return retries <= settings_.rules.retry_budget_floor +
+                          settings_.rules.retry_budget_share * static_cast<double>(query_times_.size());
   }
 
   // Rule 7 limits the work of engines: an attempt that was never sent caused none.
@@ -694,11 +701,11 @@
     double recent_cpu_us = 0;
     for (const auto& [sent_at, cpu_us] : engine.slow_start_sends)
       if (sent_at > now - window) recent_cpu_us += cpu_us;
-    const double warmed = static_cast<double>(now - engine.entry.started_at) /
-                          static_cast<double>(settings_.rules.slow_start_duration);
-    const double capacity =
-        engine.cores * (settings_.rules.slow_start_initial_capacity +
-                        (1 - settings_.rules.slow_start_initial_capacity) * std::max(warmed, 0.0));
+    const double slow_start_progress = static_cast<double>(now - engine.entry.started_at) /
+                                       static_cast<double>(settings_.rules.slow_start_duration);
+    const double capacity = engine.cores * (settings_.rules.slow_start_initial_capacity +
+                                            (1 - settings_.rules.slow_start_initial_capacity) *
+                                                std::max(slow_start_progress, 0.0));
     const double allowance_us =
         kSlowStartShare * settings_.rules.overload_multiple * capacity * static_cast<double>(window);
     const double gateways = fleet_ ? fleet_->live : settings_.gateways;
@@ -831,7 +838,8 @@
   }
 
   // Guards against queries that had their first attempt, or may not be repeated, waiting for engines that
-  // nobody tries until they are refused: without new safe queries all suspects stayed closed.
+  // nobody tries until they are refused: without new queries that are safe to repeat, all suspects stayed
+  // suspect.
   bool only_suspects_left(const TrackedQuery& tracked, TimeUs now) const {
     return std::none_of(engines_.begin(), engines_.end(), [&](const auto& item) {
       const Engine& engine = item.second;
@@ -868,9 +876,10 @@
     }
   }
 
-  // Guards against engines that answer nothing (each budget reset reopened them) and answers lost on the way:
-  // a query goes elsewhere when its notes stay away or, without notes, when it takes several times the
-  // class's time; its engine is silent if nothing came from it since. Overdue, but notes come: a slow engine.
+  // Guards against engines that answer nothing (each budget reset sent them queries again) and answers lost
+  // on the way: a query goes elsewhere when its notes stay away or, without notes, when it takes several
+  // times what its class takes; its engine is silent if nothing came from it since. Overdue, but notes come:
+  // a slow engine.
   void check_overdue_attempts(TimeUs now, ActionSink& sink) {
     for (auto& [id, engine] : engines_) {
       for (const auto& [query_id, attempt_index] : engine.attempts) {
@@ -885,11 +894,11 @@
         const TimeUs awake_now = now - gateway_stall_, awake_sent = attempt.sent_at - attempt.stall_at_send;
         const bool quiet = awake_now - std::max(awake_sent, engine.last_heard_at) >
                            kSilentNoteIntervals * settings_.progress_interval;
-        const double wait_limit_us =
+        const double min_wait_us =
             has_notes ? kMinAnswerWaitUs
                       : kMinAnswerWaitPerTarget * static_cast<double>(class_of(tracked).latency_target);
         const double max_wait_us = std::max(kOverdueFactor * stats_of(tracked).slowdown * ideal_us(tracked),
-                                            std::min(kMinAnswerWaitUs, wait_limit_us));
+                                            std::min(kMinAnswerWaitUs, min_wait_us));
         const bool overdue = static_cast<double>(awake_now - awake_sent) > max_wait_us;
         const bool newly_overdue =
             overdue && !attempt.overdue && !class_of(tracked).load && !stalled_by_load(tracked, engine, now);
@@ -916,7 +925,8 @@
   }
 
   // Guards against a bad plan (each attempt gets a new one): at the pace of its notes the attempt would take
-  // several times the class's present time. Once a query, where it is safe to repeat and there is time left.
+  // several times what its class takes now. Once a query, where it is safe to repeat and a new attempt can be
+  // in time.
   bool is_runaway(const TrackedQuery& tracked, const Attempt& attempt, double progress, TimeUs now) {
     const double elapsed_us =
         static_cast<double>(now - attempt.sent_at - (gateway_stall_ - attempt.stall_at_send));
@@ -935,7 +945,7 @@
   }
 
   Settings settings_;
-  bool started_ = false;                                            // from the first event on
+  bool started_ = false;                                            // since the first engine list or query
   TimeUs started_at_ = 0, last_reset_at_ = 0, resubscribe_at_ = 0;  // resubscribe_at_ 0: not due
   TimeUs next_tick_at_ = 0, gateway_stall_ = 0;                     // gateway_stall_: total lateness of ticks
   double share_, quota_per_s_ = 0;   // this gateway's part of all; sum of the tenants' quotas
--- a/tests/unit/connection_end_test.cpp
+++ b/tests/unit/connection_end_test.cpp
@@ -1,4 +1,4 @@
-// The outcome that the decision module is told for each end of a connection, before and after the engine may
+// The outcome that the decision module gets for each end of a connection, before and after the engine may
 // have the query.
 #include "core/connection_end.h"
 
--- a/tests/unit/module_test.cpp
+++ b/tests/unit/module_test.cpp
@@ -218,7 +218,7 @@
   EXPECT_EQ(sink.sent.size(), 50u);
 }
 
-TEST_F(WorkloadBudgetTest, HeldQueryIsRefusedOnceItsAimCannotBeMetWithRetryAfter) {
+TEST_F(WorkloadBudgetTest, HeldQueryIsRefusedWithRetryAfterOnceItsLatencyTargetCannotBeMet) {
   create_module(0);
   submit(make_query(1));
   EXPECT_FALSE(refused_or_failed(1));
@@ -404,7 +404,7 @@
 
 // --- Rule 4: all gateways together send an engine in slow start a bounded amount of work ---
 
-TEST_F(WorkloadBudgetTest, AColdEngineGetsNoMoreThanItsPartInAnyWindow) {
+TEST_F(WorkloadBudgetTest, AnEngineInSlowStartGetsNoMoreThanItsPartInAnyWindow) {
   settings.gateways = 4;
   settings.rules.overload_multiple = 2;
   settings.rules.overload_window = 2 * kSecond;
@@ -421,7 +421,7 @@
   EXPECT_LE(sink.sent.size(), 24u);
 }
 
-TEST_F(WorkloadBudgetTest, AnEngineBackWithANewStartTimeIsColdAgain) {
+TEST_F(WorkloadBudgetTest, AnEngineBackWithANewStartTimeIsInSlowStartAgain) {
   settings.rules.overload_multiple = 2;
   settings.rules.overload_window = 1 * kSecond;
   settings.rules.slow_start_initial_capacity = 0.3;
@@ -476,7 +476,7 @@
 
 // --- Rule 7: attempts beyond the first come out of a retry budget ---
 
-TEST_F(WorkloadBudgetTest, FurtherAttemptsStayWithinTheRation) {
+TEST_F(WorkloadBudgetTest, FurtherAttemptsStayWithinTheRetryBudget) {
   settings.rules.has_retry_budget = true;
   settings.rules.retry_budget_floor = 2;
   settings.rules.retry_budget_share = 0.2;
@@ -493,8 +493,9 @@
 
 // --- Engine health ---
 
-// Each budget reset used to reopen an engine that answers nothing. It may get trial queries only.
-TEST_F(WorkloadBudgetTest, AHungEngineStaysClosedOverBudgetResetsButForTrials) {
+// Each budget reset used to send queries again to an engine that answers nothing. It may get trial queries
+// only.
+TEST_F(WorkloadBudgetTest, AHungEngineGetsOnlyTrialQueriesEvenAfterBudgetResets) {
   settings.tenants = {{"a", 1, 100}};
   create_module(3);
   Query first_query = make_query(1, 3);
@@ -676,7 +677,7 @@
   return share;
 }
 
-TEST_F(WorkloadBudgetTest, AColdEngineGetsNoMoreThanTheLeaseLeavesAndNothingWithoutOne) {
+TEST_F(WorkloadBudgetTest, AnEngineInSlowStartGetsNoMoreThanTheLeaseLeavesAndNothingWithoutOne) {
   settings.gateways = 4;  // from the settings; a lease takes precedence over it
   settings.rules.overload_multiple = 2;
   settings.rules.overload_window = 2 * kSecond;
@@ -881,7 +882,7 @@
 // A report query whose engine chose a bad query plan sent progress notes at a tenth of its usual pace until
 // its time budget ended. A plan is chosen anew for each attempt, so such an attempt is cancelled and sent
 // again.
-TEST_F(WorkloadBudgetTest, AnAttemptWhoseNotesTellABadPlanIsCancelledAndSentAgainOnce) {
+TEST_F(WorkloadBudgetTest, AnAttemptWhoseNotesShowABadPlanIsCancelledAndSentAgainOnce) {
   settings.progress_interval = 2 * kSecond;
   settings.classes[0].latency_target = 3 * kSecond;
   settings.classes[0].deadline = 20 * kSecond;
@@ -925,7 +926,7 @@
 
 // Engines that admit every query and slow all of them once memory is exceeded were sent more than their
 // memory holds: without grants the gateway did not count memory.
-TEST_F(WorkloadBudgetTest, WhereEnginesPageWithoutGrantsEstimatedMemoryIsCounted) {
+TEST_F(WorkloadBudgetTest, WhereEnginesOvercommitWithoutGrantsEstimatedMemoryIsCounted) {
   settings.memory_shortage_policy = MemoryShortagePolicy::kOvercommit;
   create_module(1);  // 16,000 MB
   Query query = make_query(1, 7);
@@ -1104,7 +1105,7 @@
 // gateway, one reader after the other, each until its latency target had passed; and the engine counted as
 // slow for all table groups. An overdue reader now marks its group as blocked on that engine for as long as a
 // load query takes.
-TEST_F(WorkloadBudgetTest, AnOverdueReaderMarksItsGroupAsHeldThere) {
+TEST_F(WorkloadBudgetTest, AnOverdueReaderMarksItsGroupAsBlockedThere) {
   settings.classes[0].waits_for_loads = true;
   ClassSettings load_class = default_class();
   load_class.name = "load";
@@ -1163,7 +1164,7 @@
 
 // Incident r93ae0d: an attempt became overdue after a fixed 0.7 s, longer than the latency target itself, so
 // its query could only be refused.
-TEST_F(WorkloadBudgetTest, AQueryIsOverdueInTimeToGoElsewhereWhereAimsAreShort) {
+TEST_F(WorkloadBudgetTest, AQueryIsOverdueInTimeToGoElsewhereWhereLatencyTargetsAreShort) {
   settings.classes[0].latency_target = 300 * kMs;
   create_module(2);
   Query query = make_query(1);
