--- a/src/net/attention.h
+++ b/src/net/attention.h
@@ -11,9 +11,9 @@
 class StallTracker {
  public:
   // Begins a turn at `now` (monotonic time). The time since the turn was expected, less `kTolerance`, counts
-  // as stalled. True if the turn is late and has to act on nothing: that is left to the next one, which
-  // comes after the sockets are read. Never true twice in a row: a process that is always late would only
-  // read.
+  // as stalled. True if the turn is late and must not act: its work is left to the next turn, which
+  // comes after the sockets are read. Never true twice in a row, else a process that is always late would do
+  // nothing but read.
   bool begin_turn(TimeUs now) {
     const TimeUs lateness =
         expected_turn_at_ > 0 ? std::max<TimeUs>(now - expected_turn_at_ - kTolerance, 0) : 0;
@@ -35,7 +35,7 @@
   TimeUs stalled_time() const { return stalled_time_; }
 
  private:
-  // Turns take, and timers are late by, up to so much without a stall.
+  // Without a stall, a turn takes and a timer is late by this much at most.
   static constexpr TimeUs kTolerance = 20'000;
   TimeUs expected_turn_at_ = 0;  // 0: no turn so far
   TimeUs stalled_time_ = 0;
--- a/src/net/buffer_pool.h
+++ b/src/net/buffer_pool.h
@@ -35,7 +35,8 @@
 
   // Too few buffers are left for new work: reading and accepting have to stop.
   bool low() const { return in_use_ + reserve() >= max_buffers_; }
-  // Work in progress uses one and a half times the limit: the clients that hold most of it have to be closed.
+  // Work in progress uses more than one and a half times the limit: the client that holds most of it has to
+  // be closed.
   bool over_limit() const { return in_use_ > max_buffers_ + max_buffers_ / 2; }
   std::size_t in_use() const { return in_use_; }
   std::size_t free_count() const { return free_.size(); }
--- a/src/net/change_log.cpp
+++ b/src/net/change_log.cpp
@@ -104,7 +104,7 @@
   set_due(now + connect_timeout_);
 }
 
-void ChangeLog::send_watch_request(TimeUs now) {
+void ChangeLog::send_poll(TimeUs now) {
   state_ = State::kAwaitingAnswer;
   set_due(now + poll_timeout_ + answer_grace_);
   parser_.reset();
@@ -125,7 +125,7 @@
   ConnectionEnd end_reason = ConnectionEnd::kUnreachable;
   if (!connect_succeeded(channel_->fd(), end_reason)) return end(end_reason);
   channel_->want_read(true);
-  send_watch_request(monotonic_now());
+  send_poll(monotonic_now());
 }
 
 void ChangeLog::on_error() {
@@ -185,7 +185,7 @@
   if (!parser_.head().keep_alive) {
     end(ConnectionEnd::kClosedIdle);
   } else {
-    send_watch_request(monotonic_now());
+    send_poll(monotonic_now());
   }
   return true;
 }
--- a/src/net/change_log.h
+++ b/src/net/change_log.h
@@ -47,7 +47,7 @@
  private:
   enum class State { kClosed, kConnecting, kAwaitingAnswer };
   void connect(TimeUs now);
-  void send_watch_request(TimeUs now);
+  void send_poll(TimeUs now);
   void flush();
   bool read_bytes(std::string_view bytes);  // false: the answer is invalid
   bool on_complete_answer();
--- a/src/net/client_connection.cpp
+++ b/src/net/client_connection.cpp
@@ -79,17 +79,17 @@
     if (!should_read()) return channel_.want_read(false);
     BufferChain in(context_.pool);
     const std::span<char> writable_span = in.writable_span();
-    const IoResult moved = read_some(channel_.fd(), writable_span);
-    if (moved.kind == IoResult::Kind::kWouldBlock) return;
-    if (moved.kind == IoResult::Kind::kClosed) return close(ConnectionEnd::kClosedIdle);
-    if (moved.kind == IoResult::Kind::kReset) return close(ConnectionEnd::kResetUnanswered);
-    context_.counters.client_bytes_in += moved.bytes;
+    const IoResult io_result = read_some(channel_.fd(), writable_span);
+    if (io_result.kind == IoResult::Kind::kWouldBlock) return;
+    if (io_result.kind == IoResult::Kind::kClosed) return close(ConnectionEnd::kClosedIdle);
+    if (io_result.kind == IoResult::Kind::kReset) return close(ConnectionEnd::kResetUnanswered);
+    context_.counters.client_bytes_in += io_result.bytes;
     last_activity_at_ = monotonic_now();
-    if (!parse_frames({writable_span.data(), moved.bytes}))
+    if (!parse_frames({writable_span.data(), io_result.bytes}))
       return close_when_answered(ConnectionEnd::kUnreadable);
     if (!is_open() || closing_end_) return;
     if (!update_buffered_bytes()) return close_when_answered(ConnectionEnd::kLimitExceeded);
-    if (moved.bytes < writable_span.size()) return;
+    if (io_result.bytes < writable_span.size()) return;
   }
 }
 
@@ -328,9 +328,9 @@
   if (!is_open() || closing_end_) return;
   if (!paused_) on_readable();  // reads for the last time
   if (!is_open() || closing_end_) return;
-  const bool is_idle =
+  const bool can_close_now =
       !paused_ && unanswered_requests() == 0 && output_.empty() && has_nothing_in_transit(now);
-  if (is_idle || force) close_when_answered(ConnectionEnd::kShutDown);
+  if (can_close_now || force) close_when_answered(ConnectionEnd::kShutDown);
 }
 
 bool ClientConnection::has_nothing_in_transit(TimeUs now) const {
@@ -357,10 +357,10 @@
 void ClientConnection::discard_input() {
   std::array<char, 4096> into;
   for (int i = 0; i < kMaxReadsPerEvent; ++i) {
-    const IoResult moved = read_some(channel_.fd(), into);
-    if (moved.kind == IoResult::Kind::kWouldBlock) return;
-    discarded_bytes_ += moved.bytes;
-    if (moved.kind != IoResult::Kind::kBytes || discarded_bytes_ > kMaxDiscardedBytes) {
+    const IoResult io_result = read_some(channel_.fd(), into);
+    if (io_result.kind == IoResult::Kind::kWouldBlock) return;
+    discarded_bytes_ += io_result.bytes;
+    if (io_result.kind != IoResult::Kind::kBytes || discarded_bytes_ > kMaxDiscardedBytes) {
       context_.reactor.skip_next_wait();  // a shutdown may wait for this
       return end_lingering();
     }
--- a/src/net/client_connection.h
+++ b/src/net/client_connection.h
@@ -64,8 +64,8 @@
   void close(core::ConnectionEnd end);
   // Stops reading, and closes once each request that was read has its answer and that is written.
   void close_when_answered(core::ConnectionEnd end);
-  // Part of a shutdown: reads once more, then closes the connection if it is idle. With `force` it closes as
-  // soon as its requests are answered.
+  // Part of a shutdown: reads once more, then closes the connection if nothing is unanswered, unsent or on
+  // the way. With `force` it closes as soon as its requests are answered.
   void shut_down(TimeUs now, bool force);
   // Requests that were read and neither answered nor aborted by the client.
   std::size_t unanswered_requests() const { return unanswered_.size() + held_calls_.size(); }
@@ -117,7 +117,7 @@
   TimeUs last_activity_at_ = 0;                     // monotonic time of the last byte read or written
   TimeUs frame_started_at_ = 0;                     // before the first frame: start of the connection
   std::size_t counted_bytes_ = 0;                   // this connection's part of `totals_.buffered_bytes`
-  int invalid_requests_ = 0;                        // requests that could not be accepted
+  int invalid_requests_ = 0;                        // requests that broke the protocol's rules
   std::multiset<std::int32_t> unanswered_;          // sequence numbers of requests without an answer
   std::optional<core::ConnectionEnd> closing_end_;  // if set: closes with this end once all are answered
   // In a shutdown: new requests are refused, and the connection closes once all are answered.
--- a/src/net/controller.cpp
+++ b/src/net/controller.cpp
@@ -14,8 +14,8 @@
 namespace {
 
 constexpr std::int64_t kBytesPerMb = 1024L * 1024;
-// Divisors of the memory and of the descriptors: one part in so many is for (docs/architecture.md adds them
-// up)
+// Each use gets the memory, for clients the descriptors, divided by its constant (docs/architecture.md adds
+// the parts up).
 constexpr std::int64_t kPoolDivisor = 4;         // buffers; work in progress may take half as much again
 constexpr std::int64_t kStatementsDivisor = 16;  // statements of open queries, and the same for their copies
 constexpr std::int64_t kFramesDivisor = 16;      // incomplete frames
@@ -86,7 +86,7 @@
                counters_,
                log,
                [this](core::Event event) { post(std::move(event)); },
-               [this] { return low_on_memory(); },
+               [this] { return under_memory_pressure(); },
                [this](core::CallId call) { return reducer_.start_denied(monotonic_now(), call); },
                {}},
       reducer_(config.settings, config.seed, counters_),
@@ -94,7 +94,7 @@
       change_log_(
           context_, config.change_log, config.initial_engine_list,
           {memory_part(config, kChangesDivisor), config.connect_timeout, config.settings.rules, config.seed}),
-      front_door_(context_, listener.release(), front_limits(config), reducer_),
+      client_listener_(context_, listener.release(), front_limits(config), reducer_),
       signals_(reactor_, [this](int signal) { on_signal(signal); }),
       ticker_(reactor_),
       created_at_(monotonic_now()) {}
@@ -102,7 +102,7 @@
 // Guards against running out of memory: reading from clients stops, so that they hold back their data.
 // Requests that were read in this turn count too, else all clients together could exceed the limit within one
 // turn.
-bool Controller::low_on_memory() const {
+bool Controller::under_memory_pressure() const {
   return pool_.low() || reducer_.statement_bytes() + events_.statement_bytes() >= max_statement_bytes_;
 }
 
@@ -127,8 +127,8 @@
   const TimeUs now = monotonic_now();
   ++counters_.turns;
   check_wall_clock(now);
-  const bool deferred = attention_.begin_turn(now);
-  context_.stalled_time = attention_.stalled_time();
+  const bool deferred = stall_tracker_.begin_turn(now);
+  context_.stalled_time = stall_tracker_.stalled_time();
   if (deferred) return defer_turn();
   try {
     context_.pending_destruction.clear();
@@ -139,7 +139,7 @@
     if (intents_) intents_->check();
     if (reload_retry_at_ && now >= *reload_retry_at_) reload();
     process_events(now);
-    front_door_.between_turns(now);
+    client_listener_.between_turns(now);
     stop_if_done(now);
   } catch (const std::exception& e) {
     log_.write(log::Level::kError, std::string("turn: ") + e.what());
@@ -149,7 +149,7 @@
   const TimeUs end = monotonic_now();
   counters_.turn_length.add(end - now);
   const TimeUs wait = time_to_wait(end);
-  attention_.end_turn(wait);
+  stall_tracker_.end_turn(wait);
   return wait;
 }
 
@@ -163,12 +163,12 @@
 }
 
 // Leaves this turn's work to the next turn, which comes once the sockets were read. Guards against acting on
-// outdated state after this process was stalled: epoll calls a turn before the ready sockets are read, and
-// timers that became due meanwhile sent queries to engines whose drain was unread; a watch whose answer was
-// unread was taken for silent.
+// outdated state after this process was stalled: the reactor runs a turn before the sockets that its poll
+// found ready are read, and timers that became due meanwhile sent queries to engines whose drain was unread;
+// a watch whose answer was unread was taken for silent.
 TimeUs Controller::defer_turn() {
   ++counters_.late_turns;
-  attention_.end_turn(0);
+  stall_tracker_.end_turn(0);
   return 0;
 }
 
@@ -315,7 +315,7 @@
         } else if constexpr (std::is_same_v<E, core::LogText>) {
           log_.write(e.level, log::Component::kCore, e.text);
         } else {
-          front_door_.answer(e);
+          client_listener_.answer(e);
         }
       },
       effect);
@@ -324,7 +324,7 @@
 TimeUs Controller::time_to_wait(TimeUs now) const {
   if (!events_.empty()) return 0;
   TimeUs due = std::min(now + kMaxWait, change_log_.next_due());
-  if (!front_door_.empty()) due = std::min(due, front_door_.next_sweep_at());
+  if (!client_listener_.empty()) due = std::min(due, client_listener_.next_sweep_at());
   if (reload_retry_at_) due = std::min(due, *reload_retry_at_);
   if (shutdown_) due = std::min(due, next_shutdown_step(now));
   if (const auto timer = reducer_.next_due()) due = std::min(due, *timer);
@@ -343,7 +343,7 @@
 // while the program started or was stalled is not known.
 TimeUs Controller::earliest_signal_time() const {
   const bool first_turn = counters_.turns <= 1;
-  return first_turn ? created_at_ : monotonic_now() - attention_.turn_lateness();
+  return first_turn ? created_at_ : monotonic_now() - stall_tracker_.turn_lateness();
 }
 
 void Controller::begin_shutdown() {
@@ -444,13 +444,13 @@
 // case. Guards against being killed, by which requests that were read would get no answer.
 void Controller::stop_if_done(TimeUs now) {
   if (!shutdown_ || now < shutdown_->close_from) return;
-  front_door_.begin_shutdown(*shutdown_);
+  client_listener_.begin_shutdown(*shutdown_);
   if (listening_) {
     const TimeUs accept_until = std::min(shutdown_->asked_at + kAcceptTimeLimit, shutdown_->answer_by);
-    listening_ = !front_door_.stop_listening(now >= accept_until);
+    listening_ = !client_listener_.stop_listening(now >= accept_until);
     return;
   }
-  const bool nothing_open = events_.empty() && reducer_.queries() == 0 && front_door_.empty();
+  const bool nothing_open = events_.empty() && reducer_.queries() == 0 && client_listener_.empty();
   if (!nothing_open && now < shutdown_->answer_by) return;
   // Returns the budget shares before the process ends, so that others need not wait for the end of its lease.
   if (fleet_) fleet_->leave(monotonic_now());
@@ -458,7 +458,7 @@
   if ((!nothing_open || !fleet_left) && now < shutdown_->end_by) return;
   log_.write(log::Level::kInfo,
              nothing_open ? "nothing is open any more: stopping" : "shutdown time is over: stopping");
-  front_door_.close_all();
+  client_listener_.close_all();
   engines_.close_all();
   change_log_.close();
   if (fleet_) fleet_->close_all();
@@ -472,7 +472,7 @@
 void Controller::count_descriptors() {
   // Standard streams, listener, epoll, signals, ticker, change log.
   constexpr std::uint64_t kFixedDescriptors = 8;
-  counters_.descriptors.set(counters_.clients.now + front_door_.lingering() +
+  counters_.descriptors.set(counters_.clients.now + client_listener_.lingering() +
                             counters_.engine_connections.now + kFixedDescriptors +
                             (fleet_ ? fleet_->connections() : 0));
 }
--- a/src/net/controller.h
+++ b/src/net/controller.h
@@ -61,7 +61,7 @@
   TimeUs turn();
   TimeUs defer_turn();
   void post(core::Event event);
-  bool low_on_memory() const;
+  bool under_memory_pressure() const;
   void check_wall_clock(TimeUs now);
   void process_events(TimeUs now);
   void process_non_requests(TimeUs now);
@@ -97,12 +97,12 @@
   std::size_t max_statement_bytes_;
   Reactor reactor_;
   Context context_;
-  StallTracker attention_;
+  StallTracker stall_tracker_;
   core::Reducer reducer_;
   EventQueue events_;
   EngineClient engines_;
   ChangeLog change_log_;
-  ClientListener front_door_;
+  ClientListener client_listener_;
   Signals signals_;
   LoopTicker ticker_;
   std::unique_ptr<AdminSocket> admin_;  // null: off
--- a/src/net/engine_client.cpp
+++ b/src/net/engine_client.cpp
@@ -12,7 +12,8 @@
 using core::CallKind;
 using core::ConnectionEnd;
 
-constexpr std::size_t kReservedDivisor = 8;  // starts may not use one in so many connections
+// One in so many connections is kept for calls of running attempts: starts may not use it.
+constexpr std::size_t kReservedDivisor = 8;
 
 }  // namespace
 
--- a/src/net/engine_client.h
+++ b/src/net/engine_client.h
@@ -29,7 +29,7 @@
   // CallAnswered or CallEnded event.
   void send(core::SendCall call);
   void drop(core::CallId call);  // ends the call; closes its connection if it has one
-  // Ends the call if none of its bytes were written; else has no effect.
+  // Ends the call if it waits for a connection or its connection is still being opened; else has no effect.
   void withdraw(core::CallId call);
   void close_idle_connection(core::AttemptId attempt);  // closes the attempt's connection if it is idle
   void check(TimeUs now);  // enforces time limits and sends waiting calls; once a turn
--- a/src/net/engine_connection.cpp
+++ b/src/net/engine_connection.cpp
@@ -66,7 +66,7 @@
   state_ = State::kBusy;
   parser_.reset();
   body_.clear();
-  row_check_ = {};
+  row_validator_ = {};
   unsent_.append(http::write_call(*call_, monotonic_now()));
   flush();
 }
@@ -111,7 +111,7 @@
 bool EngineConnection::read_bytes(std::string_view bytes) {
   using Result = http::ResponseParser::Result;
   const Result result = parse_answer_bytes(parser_, bytes, [this](std::string_view piece) {
-    row_check_.feed(piece);
+    row_validator_.feed(piece);
     body_.append(piece);
   });
   if (result != Result::kDone) return result == Result::kNeedMore;
@@ -122,7 +122,7 @@
 void EngineConnection::on_complete_answer(bool no_trailing_bytes) {
   auto rows = std::make_unique<ChainPayload>(std::move(body_));
   body_ = BufferChain(context_.pool);
-  auto answer = http::read_answer(call_->kind, parser_.head(), std::move(rows), row_check_.valid());
+  auto answer = http::read_answer(call_->kind, parser_.head(), std::move(rows), row_validator_.valid());
   // Bytes behind an answer belong to no call: the connection is not used again. Behind an answer with rows
   // they may be rows beyond a wrong content length: the call fails, so that the rows are requested again.
   const bool has_rows = parser_.head().status == 200;
--- a/src/net/engine_connection.h
+++ b/src/net/engine_connection.h
@@ -77,7 +77,7 @@
   http::ResponseParser parser_;
   BufferChain unsent_;
   BufferChain body_;
-  http::RowValidator row_check_;
+  http::RowValidator row_validator_;
 };
 
 }  // namespace orchidgw::net
--- a/src/net/event_queue.cpp
+++ b/src/net/event_queue.cpp
@@ -35,28 +35,28 @@
 EventQueue::Queue& EventQueue::queue_for(const core::Event& event) {
   if (std::holds_alternative<core::EnginesChanged>(event)) return list_changes_;
   if (std::holds_alternative<core::RequestArrived>(event)) return requests_;
-  if (std::holds_alternative<core::RequestAborted>(event)) return cancellations_;
-  if (std::holds_alternative<core::ClientClosed>(event)) return cancellations_;
+  if (std::holds_alternative<core::RequestAborted>(event)) return disconnects_and_aborts_;
+  if (std::holds_alternative<core::ClientClosed>(event)) return disconnects_and_aborts_;
   return outcomes_;
 }
 
 // Guards against requests that outlive their client: disconnects and aborts are handled first, so a request
 // that was read before one would be acted on after it and run for nobody.
-void EventQueue::remove_requests(const core::Event& cancellation) {
-  const auto is_cancelled = [&cancellation](const PostedEvent& posted) {
+void EventQueue::remove_requests(const core::Event& client_event) {
+  const auto is_obsolete = [&client_event](const PostedEvent& posted) {
     const auto& request = std::get<core::RequestArrived>(posted.event);
-    if (const auto* closed = std::get_if<core::ClientClosed>(&cancellation))
+    if (const auto* closed = std::get_if<core::ClientClosed>(&client_event))
       return request.client == closed->client;
-    const auto* aborted = std::get_if<core::RequestAborted>(&cancellation);
+    const auto* aborted = std::get_if<core::RequestAborted>(&client_event);
     return aborted != nullptr && request.client == aborted->client && request.tag == aborted->tag;
   };
-  std::erase_if(requests_, is_cancelled);
+  std::erase_if(requests_, is_obsolete);
   statement_bytes_ = 0;
   for (const PostedEvent& request : requests_) statement_bytes_ += statement_bytes_of(request);
 }
 
 void EventQueue::push(core::Event event, TimeUs at) {
-  if (&queue_for(event) == &cancellations_) remove_requests(event);
+  if (&queue_for(event) == &disconnects_and_aborts_) remove_requests(event);
   Queue& queue = queue_for(event);
   // Guards against sends between two list changes, based on a list that the next one supersedes: an engine
   // that joined and drained in one answer of the change log was sent the waiting queries.
@@ -78,7 +78,7 @@
   if (auto change = pop_front_of(list_changes_)) return change;
   // Guards against one more attempt for a client whose disconnect or abort was read together with the end of
   // the last attempt.
-  if (auto cancellation = pop_front_of(cancellations_)) return cancellation;
+  if (auto client_event = pop_front_of(disconnects_and_aborts_)) return client_event;
   return pop_front_of(outcomes_);
 }
 
@@ -89,7 +89,7 @@
 }
 
 bool EventQueue::empty() const {
-  return list_changes_.empty() && outcomes_.empty() && cancellations_.empty() && requests_.empty();
+  return list_changes_.empty() && outcomes_.empty() && disconnects_and_aborts_.empty() && requests_.empty();
 }
 
 }  // namespace orchidgw::net
--- a/src/net/event_queue.h
+++ b/src/net/event_queue.h
@@ -26,13 +26,13 @@
 
  private:
   using Queue = std::deque<PostedEvent>;
-  void remove_requests(const core::Event& cancellation);
+  void remove_requests(const core::Event& client_event);
   Queue& queue_for(const core::Event& event);
   static std::optional<PostedEvent> pop_front_of(Queue& queue);
 
   Queue list_changes_;
   Queue outcomes_;
-  Queue cancellations_;
+  Queue disconnects_and_aborts_;
   Queue requests_;
   std::size_t statement_bytes_ = 0;
 };
--- a/src/net/fleet_member.cpp
+++ b/src/net/fleet_member.cpp
@@ -117,7 +117,7 @@
   return may_be_given ? promises_->key_status(identity, now) : core::KeyStatus::kUnavailable;
 }
 
-// Sent to the keeper that leases are requested from, which follows the leader.
+// Sent to the keeper that lease requests go to: that choice follows the leader.
 void FleetMember::request_keys(const promises::KeyRequest& ask) {
   if (role_.keeper_to_ask() == own_keeper_) {
     keeper_->post(KeeperThread::KeyRequestReceived{0, ask});
--- a/src/net/fleet_member.h
+++ b/src/net/fleet_member.h
@@ -1,5 +1,5 @@
 // This controller as a member of its fleet: its budget leases, its connections to other controllers, and the
-// keeper's thread if it is a keeper (one of the members that replicate the fleet's agreed log).
+// keeper's thread if it is a keeper (one of the members that replicate the fleet's log).
 #pragma once
 
 #include <functional>
@@ -49,7 +49,8 @@
   // Whether a query that must not run twice may be accepted. Only if `promises` is not null.
   core::KeyStatus key_status(const std::string& identity) const;
 
-  // A query was accepted that costs `cost`, by estimate: counts as demand for budgets.
+  // A query has arrived whose cost is `cost` by estimate: counts as demand for budgets, also if it is
+  // refused.
   void record_query(TimeUs now, const std::string& tenant, TimeUs cost) {
     demand_.query_accepted(now, tenant, cost);
   }
--- a/src/net/fleet_port.h
+++ b/src/net/fleet_port.h
@@ -1,6 +1,6 @@
 // All connections to other controllers of the fleet: those that a keeper accepts, and one to each keeper that
-// this controller sends messages to. Lost connections are opened again by the next send, after a random
-// delay.
+// this controller sends messages to. A lost connection is opened again by the first `send` or
+// `ensure_connection` after a random delay.
 #pragma once
 
 #include <functional>
--- a/src/net/front_door.cpp
+++ b/src/net/front_door.cpp
@@ -69,8 +69,8 @@
     };
     if (!candidate || rank(*client) < rank(*candidate)) candidate = client;
   }
-  // What has just arrived from it is read: then it is not evicted, and the new connection waits for the next
-  // attempt.
+  // What has just arrived from it is read: then it is not evicted, and the new connection waits until
+  // accepting is tried again.
   if (candidate && candidate->confirm_quiet()) candidate->close(core::ConnectionEnd::kEvicted);
   return clients_.size() < limits_.clients;
 }
--- a/src/net/intents.cpp
+++ b/src/net/intents.cpp
@@ -26,12 +26,12 @@
 }  // namespace
 
 Intents::Intents(Context& context, const std::string& folder, std::function<void(core::SendCall)> send)
-    : context_(context), send_(std::move(send)), store_(folder, kMaxStoreBytes), key_book_([this] {
+    : context_(context), send_(std::move(send)), store_(folder, kMaxStoreBytes), intent_tracker_([this] {
         const std::vector<store::Intent> found = store_.load();
         loaded_count_ = found.size();
         return recovery::IntentTracker(boot_id(), monotonic_now(), found, kMaxIntents);
       }()) {
-  channel_ = std::make_unique<Channel>(context.reactor, wake_.duplicate(), *this);
+  channel_ = std::make_unique<Channel>(context.reactor, wakeup_.duplicate(), *this);
   channel_->want_read(true);
   thread_ = std::thread([this] { run_store_thread(); });
 }
@@ -48,12 +48,12 @@
 void Intents::close() { channel_->close(); }
 
 core::KeyStatus Intents::key_status(const std::string& identity) const {
-  if (key_book_.may_have_run(identity, monotonic_now())) return core::KeyStatus::kMayHaveRun;
-  return store_failing_ || key_book_.full() ? core::KeyStatus::kUnavailable : core::KeyStatus::kNew;
+  if (intent_tracker_.may_have_run(identity, monotonic_now())) return core::KeyStatus::kMayHaveRun;
+  return store_failing_ || intent_tracker_.full() ? core::KeyStatus::kUnavailable : core::KeyStatus::kNew;
 }
 
 void Intents::send_when_stored(core::SendCall call) {
-  const store::Intent intent = key_book_.create_intent(call.identity, call.key_hold, monotonic_now());
+  const store::Intent intent = intent_tracker_.create_intent(call.identity, call.key_hold, monotonic_now());
   waiting_.push_back({std::move(call), intent.serial});
   const std::lock_guard lock(mutex_);
   to_store_.push_back(intent);
@@ -72,7 +72,7 @@
   const TimeUs now = monotonic_now();
   if (now < check_at_) return;
   check_at_ = now + kCheckInterval;
-  const std::vector<std::uint64_t> expired = key_book_.take_expired(now);
+  const std::vector<std::uint64_t> expired = intent_tracker_.take_expired(now);
   if (expired.empty()) return;
   const std::lock_guard lock(mutex_);
   to_erase_.insert(to_erase_.end(), expired.begin(), expired.end());
@@ -80,7 +80,7 @@
 }
 
 void Intents::on_readable() {
-  wake_.clear();
+  wakeup_.clear();
   std::vector<StoreResult> results;
   std::string error;
   {
@@ -136,7 +136,7 @@
       std::unique_lock lock(mutex_);
       error_ = error;
       if (!to_store.empty()) results_.push_back({to_store.back().serial, error.empty()});
-      wake_.notify();
+      wakeup_.notify();
       if (!error.empty()) {  // retries with nothing new to store, so that a recovered disk is noticed
         work_available_.wait_for(lock, kRetryDelay, [this] { return stop_; });
         if (to_erase_.empty()) to_erase_.push_back(0);
--- a/src/net/intents.h
+++ b/src/net/intents.h
@@ -59,11 +59,11 @@
   std::function<void(core::SendCall)> send_;
   store::IntentStore store_;
   std::size_t loaded_count_ = 0;
-  recovery::IntentTracker key_book_;
+  recovery::IntentTracker intent_tracker_;
   std::deque<WaitingCall> waiting_;  // by ascending serial
   TimeUs check_at_ = 0;
   bool store_failing_ = false;
-  WakeupEvent wake_;
+  WakeupEvent wakeup_;
   std::unique_ptr<Channel> channel_;
 
   std::mutex mutex_;  // guards the members below, except the thread
--- a/src/net/keeper_thread.cpp
+++ b/src/net/keeper_thread.cpp
@@ -23,13 +23,13 @@
                            const store::StoredOwner& self, const budget::Terms& own)
     : options_(options),
       self_(self),
-      vote_floor_(options.id, options.voters, monotonic_now(),
+      vote_guard_(options.id, options.voters, monotonic_now(),
                   kHelloWaitElections * options.election_ms * kUsPerMs),
       folder_(folder),
       own_terms_(own) {
   open_store();
   role_ = std::make_unique<fleet::KeeperRole>(own_terms_);
-  if (disk_claim_->verdict() == Verdict::kAllowed) start_keeper();
+  if (rejoin_guard_->verdict() == Verdict::kAllowed) start_keeper();
   thread_ = std::thread([this] { run(); });
 }
 
@@ -52,7 +52,7 @@
 }
 
 KeeperThread::Output KeeperThread::take() {
-  wake_.clear();
+  wakeup_.clear();
   const std::lock_guard lock(mutex_);
   Output out = std::exchange(output_, {});
   output_.state = out.state;  // stays valid until it changes
@@ -73,13 +73,13 @@
     const std::string fault = recovery::ownership_error(*found.owner, self_);
     if (!fault.empty()) throw store::StoreError(folder_ + ": " + fault, false);
   }
-  disk_claim_.emplace(self_, options_.voters, found);
+  rejoin_guard_.emplace(self_, options_.voters, found);
 }
 
 // The owner of the store and the fact that this keeper has a log are stored with the log's first entries.
 void KeeperThread::start_keeper() {
-  disk_claim_->begin();
-  store_->set_owner(disk_claim_->owner());
+  rejoin_guard_->begin();
+  store_->set_owner(rejoin_guard_->owner());
   keeper_ = std::make_unique<keeper::Keeper>(options_, *store_, *role_, monotonic_now());
 }
 
@@ -94,12 +94,12 @@
       role_ = std::make_unique<fleet::KeeperRole>(own_terms_);
       open_store();
     }
-    const Verdict verdict = disk_claim_->verdict();
+    const Verdict verdict = rejoin_guard_->verdict();
     if (verdict == Verdict::kAllowed) {
       start_keeper();
-      log_lines_.push_back(
-          store_failed_ ? "this keeper runs again"
-                        : "an empty disk, and no other keeper knows of a log on it: starting a new log");
+      log_lines_.push_back(store_failed_
+                               ? "this keeper runs again"
+                               : "an empty disk, and no other keeper knows of a log on it: a log is begun");
       store_failed_ = false;
       return true;
     }
@@ -126,12 +126,12 @@
     } else if (auto* closed = std::get_if<LinkClosed>(&input)) {
       role_->link_gone(closed->link);
     } else if (auto* hello = std::get_if<HelloReceived>(&input)) {
-      if (disk_claim_->on_greeting(hello->by, hello->bootstrapped)) store_claim();
-      vote_floor_.on_greeting(hello->by, hello->log_progress);
+      if (rejoin_guard_->on_greeting(hello->by, hello->bootstrapped)) store_claim();
+      vote_guard_.on_greeting(hello->by, hello->log_progress);
       check_if_behind();
     } else if (auto* message = std::get_if<fleet::LogMessage>(&input)) {
-      if (disk_claim_->on_log_message(message->from)) store_claim();
-      if (keeper_ && vote_floor_.allows(*message, monotonic_now())) keeper_->receive(*message);
+      if (rejoin_guard_->on_log_message(message->from)) store_claim();
+      if (keeper_ && vote_guard_.allows(*message, monotonic_now())) keeper_->receive(*message);
     } else if (auto* lease = std::get_if<LeaseRequestReceived>(&input)) {
       if (keeper_) role_->on_request(*keeper_, lease->link, std::move(lease->ask));
     } else if (auto* key_request = std::get_if<KeyRequestReceived>(&input)) {
@@ -143,7 +143,7 @@
 
 // A log is behind if the keeper was down for a while, or runs on an old copy of its disk.
 void KeeperThread::check_if_behind() {
-  if (!keeper_ || !(keeper_->log_progress().last < vote_floor_.agreed()) ||
+  if (!keeper_ || !(keeper_->log_progress().last < vote_guard_.agreed()) ||
       std::exchange(reported_behind_, true))
     return;
   log_lines_.push_back("this keeper's log is behind what was agreed on: it votes for nobody who lacks that");
@@ -151,7 +151,7 @@
 
 // The owner is committed together with the changes that follow from it, before any of those is sent.
 void KeeperThread::store_claim() {
-  if (keeper_) store_->set_owner(disk_claim_->owner());
+  if (keeper_) store_->set_owner(rejoin_guard_->owner());
 }
 
 void KeeperThread::publish_output() {
@@ -159,7 +159,7 @@
   if (keeper_) messages = keeper_->take_outbox();
   std::vector<fleet::KeeperRole::Reply> replies = role_->take_replies();
   const TimeUs now = monotonic_now();
-  std::erase_if(messages, [&](const fleet::LogMessage& one) { return !vote_floor_.allows(one, now); });
+  std::erase_if(messages, [&](const fleet::LogMessage& one) { return !vote_guard_.allows(one, now); });
   std::string status;
   if (now >= next_status_at_ && keeper_) {
     next_status_at_ = now + kStatusInterval;
@@ -168,10 +168,10 @@
   KeeperState state;
   state.store_in_use = keeper_ != nullptr;
   state.awaited_keepers =
-      disk_claim_->verdict() == Verdict::kWait ? disk_claim_->waits_for() : vote_floor_.waits_for(now);
+      rejoin_guard_->verdict() == Verdict::kWait ? rejoin_guard_->waits_for() : vote_guard_.waits_for(now);
   if (keeper_)
-    state.bootstrapped.assign(disk_claim_->owner().bootstrapped.begin(),
-                              disk_claim_->owner().bootstrapped.end());
+    state.bootstrapped.assign(rejoin_guard_->owner().bootstrapped.begin(),
+                              rejoin_guard_->owner().bootstrapped.end());
   if (keeper_) state.log_progress = keeper_->log_progress();
   const std::lock_guard lock(mutex_);
   if (!status.empty()) status_ = std::move(status);
@@ -186,7 +186,7 @@
   append(output_.to_keepers, messages);
   append(output_.replies, replies);
   append(output_.log_lines, log_lines_);
-  wake_.notify();
+  wakeup_.notify();
 }
 
 void KeeperThread::run() {
--- a/src/net/keeper_thread.h
+++ b/src/net/keeper_thread.h
@@ -1,5 +1,5 @@
-// A keeper's thread. Runs the agreed log, whose store blocks while the disk writes, and the ledger that the
-// log's entries build. The event loop posts inputs and takes outputs through one bounded queue in each
+// A keeper's thread. Runs the replicated log, whose store blocks while the disk writes, and the ledger that
+// the log's entries build. The event loop posts inputs and takes outputs through one bounded queue in each
 // direction.
 #pragma once
 
@@ -63,10 +63,10 @@
   KeeperThread& operator=(const KeeperThread&) = delete;
 
   // Readable while there is output; `take` clears it. The caller owns the descriptor. Throws SystemCallError.
-  int wake_descriptor() const { return wake_.duplicate(); }
+  int wake_descriptor() const { return wakeup_.duplicate(); }
   bool post(Input input);      // false: the queue is full, the input was dropped
   Output take();               // what has gathered since the last call, and the current state
-  std::string status() const;  // lines for operators, up to 200 ms old
+  std::string status() const;  // lines for operators, written every 200 ms while the keeper runs
 
  private:
   using Verdict = recovery::RejoinGuard::Verdict;
@@ -82,8 +82,8 @@
 
   keeper::Options options_;
   store::StoredOwner self_;
-  std::optional<recovery::RejoinGuard> disk_claim_;
-  recovery::VoteGuard vote_floor_;
+  std::optional<recovery::RejoinGuard> rejoin_guard_;
+  recovery::VoteGuard vote_guard_;
   bool reported_behind_ = false;                  // that the log is behind was logged
   Verdict reported_verdict_ = Verdict::kAllowed;  // the last that was logged
   bool store_failed_ = false;
@@ -96,7 +96,7 @@
   TimeUs next_status_at_ = 0;  // when `status_` is written next
   std::vector<std::string> log_lines_;
   bool was_leader_ = false;
-  WakeupEvent wake_;
+  WakeupEvent wakeup_;
 
   mutable std::mutex mutex_;  // guards the members below, except the thread
   std::condition_variable input_available_;
--- a/src/net/promises.cpp
+++ b/src/net/promises.cpp
@@ -53,8 +53,8 @@
         ++held_elsewhere_;
         context_.post(core::CallEnded{call.call, core::ConnectionEnd::kKeyHeld});
         break;
-      case promises::KeyResult::kUnavailable:  // it was never sent: another attempt, or a refusal, is
-                                               // harmless
+      case promises::KeyResult::kUnavailable:
+        // It was never sent: another attempt, or a refusal, is harmless.
         ++unavailable_;
         context_.post(core::CallEnded{call.call, core::ConnectionEnd::kIntentNotStored});
         break;
--- a/src/net/sockets.cpp
+++ b/src/net/sockets.cpp
@@ -95,10 +95,10 @@
 
 bool write_chain(int fd, BufferChain& chain, std::uint64_t& written, WritePosition position) {
   while (!chain.empty()) {
-    const IoResult moved = write_some(fd, chain.front(), position);
-    if (moved.kind != IoResult::Kind::kBytes) return moved.kind == IoResult::Kind::kWouldBlock;
-    written += moved.bytes;
-    chain.consume(moved.bytes);
+    const IoResult io_result = write_some(fd, chain.front(), position);
+    if (io_result.kind != IoResult::Kind::kBytes) return io_result.kind == IoResult::Kind::kWouldBlock;
+    written += io_result.bytes;
+    chain.consume(io_result.bytes);
   }
   return true;
 }
--- a/tests/integration/controller_test.cpp
+++ b/tests/integration/controller_test.cpp
@@ -396,7 +396,7 @@
   EXPECT_NE(controller->log().find("client_ends.shut_down 2"), std::string::npos);
 }
 
-// Guards against connections that take up a place without ever sending a request.
+// Guards against connections that count against the client limit without ever sending a request.
 TEST_F(Running, SilentNewcomersAndUnfinishedFramesAreClosed) {
   add_engine(serve_all);
   start();
@@ -410,7 +410,7 @@
   EXPECT_TRUE(controller->wait_for_counter("client_ends.silent", 2));
 }
 
-// Guards against a hundred silent connections, which took all places for clients.
+// Guards against silent connections by the hundred, which used up the limit of clients.
 TEST_F(Running, SilentConnectionsKeepNobodyOut) {
   add_engine(serve_all);
   options.sockets = 48;
--- a/tests/integration/front_door_memory_test.cpp
+++ b/tests/integration/front_door_memory_test.cpp
@@ -136,7 +136,7 @@
   EXPECT_FALSE(pool.over_limit());
 }
 
-// Held calls would prevent for ever that a client which reads nothing is closed: they are refused.
+// Held calls would keep a client that reads nothing from ever being closed: they are refused.
 TEST_F(FrontDoorMemory, HeldCallsOfAClientThatReadsNothingAreRefusedWhenMemoryIsShort) {
   open(4);
   auto socket = client();
--- a/tests/integration/limits_test.cpp
+++ b/tests/integration/limits_test.cpp
@@ -146,7 +146,8 @@
   EXPECT_EQ(attempts_seen(), 1);
 }
 
-// Guards against a reload that applies a part: the configuration is valid, the limits file is not.
+// Guards against a reload that applies one of the two files: the configuration is valid, the limits file is
+// not.
 TEST_F(Limited, WithOneFileBadNeitherIsInForce) {
   start(kNoLimits);
   ChangeLogStandIn other;
--- a/tests/integration/shutdown_probe.h
+++ b/tests/integration/shutdown_probe.h
@@ -59,7 +59,7 @@
 // The shortest time from SIGTERM to SIGKILL: the longest deadline, but at most 3 s of it, plus 0.7 s.
 milliseconds earliest_kill(milliseconds longest_deadline);
 
-// A sanitized process checks for leaks after the program has ended: its end took 50 to 75 ms, against 20 to
+// A sanitized process checks for leaks after the program has ended: its end takes 50 to 75 ms, against 20 to
 // 25 ms without the check, on an idle machine. SIGKILL comes later by kLeakCheck there; the log shows when
 // the program itself ended.
 #ifdef __SANITIZE_ADDRESS__
--- a/tests/unit/attention_test.cpp
+++ b/tests/unit/attention_test.cpp
@@ -9,37 +9,37 @@
 constexpr TimeUs kMs = 1000;
 
 TEST(StallTracker, LosesOnlyWhatPassedSinceTheLoopWasToBeBack) {
-  StallTracker attention;
-  attention.begin_turn(1'000'000 * kMs);  // the first turn: no stall is counted before it
-  attention.end_turn(1'000 * kMs);
-  attention.begin_turn(1'000'400 * kMs);  // woken early by a socket
-  EXPECT_EQ(attention.stalled_time(), 0);
-  attention.end_turn(100 * kMs);
-  attention.begin_turn(1'000'510 * kMs);  // within the tolerance for late timers
-  EXPECT_EQ(attention.stalled_time(), 0);
-  attention.end_turn(0);
-  attention.begin_turn(1'002'510 * kMs);  // two seconds in one turn
-  EXPECT_EQ(attention.stalled_time(), 1'980 * kMs);
-  attention.end_turn(100 * kMs);
-  attention.begin_turn(1'002'600 * kMs);
-  EXPECT_EQ(attention.stalled_time(), 1'980 * kMs);
+  StallTracker tracker;
+  tracker.begin_turn(1'000'000 * kMs);  // the first turn: no stall is counted before it
+  tracker.end_turn(1'000 * kMs);
+  tracker.begin_turn(1'000'400 * kMs);  // woken early by a socket
+  EXPECT_EQ(tracker.stalled_time(), 0);
+  tracker.end_turn(100 * kMs);
+  tracker.begin_turn(1'000'510 * kMs);  // within the tolerance for late timers
+  EXPECT_EQ(tracker.stalled_time(), 0);
+  tracker.end_turn(0);
+  tracker.begin_turn(1'002'510 * kMs);  // two seconds in one turn
+  EXPECT_EQ(tracker.stalled_time(), 1'980 * kMs);
+  tracker.end_turn(100 * kMs);
+  tracker.begin_turn(1'002'600 * kMs);
+  EXPECT_EQ(tracker.stalled_time(), 1'980 * kMs);
 }
 
 // Guards against timers that act on what was known before a stall while newer events are unread; and against
 // a process that is always late and never acts.
 TEST(StallTracker, ATurnThatComesLateIsLeftToTheNextOneNeverTwiceInARow) {
-  StallTracker attention;
-  EXPECT_FALSE(attention.begin_turn(1'000'000 * kMs));
-  attention.end_turn(100 * kMs);
-  EXPECT_FALSE(attention.begin_turn(1'000'110 * kMs));
-  attention.end_turn(100 * kMs);
-  EXPECT_TRUE(attention.begin_turn(1'002'000 * kMs));
-  attention.end_turn(0);
-  EXPECT_FALSE(attention.begin_turn(1'003'000 * kMs));
-  attention.end_turn(0);
-  EXPECT_TRUE(attention.begin_turn(1'004'000 * kMs));
-  attention.end_turn(0);
-  EXPECT_FALSE(attention.begin_turn(1'004'001 * kMs));
+  StallTracker tracker;
+  EXPECT_FALSE(tracker.begin_turn(1'000'000 * kMs));
+  tracker.end_turn(100 * kMs);
+  EXPECT_FALSE(tracker.begin_turn(1'000'110 * kMs));
+  tracker.end_turn(100 * kMs);
+  EXPECT_TRUE(tracker.begin_turn(1'002'000 * kMs));
+  tracker.end_turn(0);
+  EXPECT_FALSE(tracker.begin_turn(1'003'000 * kMs));
+  tracker.end_turn(0);
+  EXPECT_TRUE(tracker.begin_turn(1'004'000 * kMs));
+  tracker.end_turn(0);
+  EXPECT_FALSE(tracker.begin_turn(1'004'001 * kMs));
 }
 
 }  // namespace
