--- a/src/admin/admin_command.h
+++ b/src/admin/admin_command.h
@@ -2,7 +2,7 @@
 // is closed. No I/O.
 //   status
 //   fleet status
-//   level set NAME SECONDS      NAME as in the operators' file, or "full"; 1 s to a day
+//   level set NAME SECONDS      NAME as in the operator file, or "full"; 1 s to a day
 #pragma once
 
 #include <optional>
--- a/src/base/reason.h
+++ b/src/base/reason.h
@@ -20,8 +20,8 @@
   kRetryBudget,        // the retry budget of the route, or that of all routes, is used up
   kShed,               // shed by a reduced service level
   kIntentNotStored,    // it must not run twice, and its intent can't be stored
-  kShutDown,           // the gateway shuts down before it can be answered
-  kBacklog,            // reads from its client are paused, and the bound on its waiting calls is reached
+  kShutDown,           // the controller shuts down before it can be answered
+  kBacklog,            // its client is paused (memory, unread answers), and its call can't be held any longer
 };
 inline constexpr std::size_t kReasonCount = static_cast<std::size_t>(Reason::kBacklog) + 1;
 
--- a/src/cli/command_line.cpp
+++ b/src/cli/command_line.cpp
@@ -20,8 +20,9 @@
   app.add_option("--limits", sources.limits,
                  "the operators' file, YAML (default: 'operatorFile' of the configuration)")
       ->envname("ORCHIDGW_LIMITS");
-  app.add_option("--fleet", sources.fleet,
-                 "the fleet's file, YAML (default: 'fleetFile' of the configuration; without a fleet: none)")
+  app.add_option(
+         "--fleet", sources.fleet,
+         "the fleet's file, YAML (default: 'fleetFile' of the configuration; if none: not in a fleet)")
       ->envname("ORCHIDGW_FLEET");
   app.add_option("--fleet-store", sources.fleet_store,
                  "the folder of a keeper's log (default: 'store' of the fleet's file)")
@@ -56,7 +57,7 @@
   app.fallthrough();  // these options may stand before or after the command
   app.add_subcommand("serve", "serve until SIGTERM; the default without a command");
   CLI::App* check =
-      app.add_subcommand("check", "check all files as a start or a reload would, and print all errors");
+      app.add_subcommand("check", "check all files as a start or a reload would, and print all errors found");
   CLI::App* explain = app.add_subcommand(
       "explain",
       "print the limits that apply to one kind of query, each with the line, setting or rule that set it");
--- a/src/cli/replay.cpp
+++ b/src/cli/replay.cpp
@@ -67,7 +67,7 @@
       service_level::Recording recording(signals_path == "-" ? std::cin : file);
       for (const service_level::SignalKey& key : service_level::signals_of(*loaded->levels))
         if (!recording.has(key))
-          err << "orchidgw: the recording lacks " << column_name(key) << ": it can't be told\n";
+          err << "orchidgw: the recording lacks " << column_name(key) << ": its value is unknown\n";
       replay_recording(*loaded->levels, recording, out);
     } catch (const std::runtime_error& e) {
       throw std::runtime_error(signals_path + ": " + e.what());
--- a/src/cli/replay.h
+++ b/src/cli/replay.h
@@ -1,4 +1,4 @@
-// `orchidgw level replay SIGNALS.csv`: runs recorded signals through the service levels of the operators'
+// `orchidgw level replay SIGNALS.csv`: runs recorded signals through the service levels of the operator
 // file, so that thresholds can be tested before they are activated.
 #pragma once
 
--- a/src/config/json_fields.h
+++ b/src/config/json_fields.h
@@ -22,7 +22,8 @@
 // Returns the member named `key`, or nullptr if it is absent or null.
 const rapidjson::Value* find_member(const rapidjson::Value& object, const char* key);
 
-// Rounds a number that is not an integer. Throws FieldError unless it is a finite number below 9e15.
+// Returns a 64-bit integer as it is and rounds any other number. Throws FieldError if it is not a number, not
+// finite, or no 64-bit integer and 9e15 or more in magnitude.
 std::int64_t to_integer(const rapidjson::Value& value, const std::string& field);
 
 // The value of a member, or `default_value` (for string_list: an empty list) if it is absent or null. Throw
--- a/src/limits/adaptive_bound.cpp
+++ b/src/limits/adaptive_bound.cpp
@@ -12,7 +12,8 @@
 constexpr double kMinGradient = 0.5;        // one adjustment aims at no less than half the bound
 constexpr double kSmoothing = 0.3;          // share of the way to the target that one adjustment goes
 constexpr double kLongMeanWeightWhileSlow = 0.005;  // smaller, so that congestion is not learned as usual
-constexpr double kMinUtilization = 0.5;             // share of the bound in use below which it does not grow
+// Share of the bound in use below which it does not grow: answers then tell nothing about how high it may be.
+constexpr double kMinUtilization = 0.5;
 
 }  // namespace
 
--- a/src/limits/check.cpp
+++ b/src/limits/check.cpp
@@ -131,12 +131,12 @@
 
   // Finds routes whose queries are all matched by more specific routes.
   void check_unreachable_routes() {
-    std::unordered_set<std::string> matched_pairs;          // class \n tenant
+    std::unordered_set<std::string> fully_matched_pairs;    // class \n tenant, by routes that state both
     std::unordered_set<std::string> fully_matched_classes;  // for any tenant
     for (const Route& route : file_.routes) {
       if (!ignores_table_and_key(route.match) || !route.match.class_name) continue;
       if (route.match.tenant) {
-        matched_pairs.insert(route.match.class_name->value + '\n' + route.match.tenant->value);
+        fully_matched_pairs.insert(route.match.class_name->value + '\n' + route.match.tenant->value);
       } else {
         fully_matched_classes.insert(route.match.class_name->value);
       }
@@ -144,7 +144,7 @@
     const auto all_tenants_matched = [&](const std::string& class_name) {
       return !settings_.tenants.empty() &&
              std::all_of(settings_.tenants.begin(), settings_.tenants.end(), [&](const TenantSettings& t) {
-               return matched_pairs.count(class_name + '\n' + t.name) > 0;
+               return fully_matched_pairs.count(class_name + '\n' + t.name) > 0;
              });
     };
     const auto class_matched = [&](const std::string& name) {
@@ -159,7 +159,7 @@
         unreachable =
             std::all_of(settings_.classes.begin(), settings_.classes.end(), [&](const ClassSettings& c) {
               return class_matched(c.name) ||
-                     (match.tenant && matched_pairs.count(c.name + '\n' + match.tenant->value) > 0);
+                     (match.tenant && fully_matched_pairs.count(c.name + '\n' + match.tenant->value) > 0);
             });
       }
       if (unreachable)
--- a/src/limits/limiter.cpp
+++ b/src/limits/limiter.cpp
@@ -12,8 +12,9 @@
 constexpr double kQueryTimeWeight = 0.1;
 constexpr TimeUs kMinExpectedTime = 1'000;
 constexpr TimeUs kMinRetryAfter = 1'000;  // the clients' protocol counts in milliseconds
-constexpr std::size_t kMaxStaleIds = 64;  // ids of queries that have left, on top of twice the waiting ones
-constexpr double kArrivalDecayUs = 2e6;   // time constant of the decay of a route's arrival rate
+// A queue is pruned of queries that have left once it has this many ids more than twice its waiting queries.
+constexpr std::size_t kMaxStaleIds = 64;
+constexpr double kArrivalDecayUs = 2e6;  // time constant of the decay of a route's arrival rate
 
 double decay_factor(TimeUs elapsed) {
   return std::exp(-static_cast<double>(std::max<TimeUs>(elapsed, 0)) / kArrivalDecayUs);
--- a/src/limits/route.h
+++ b/src/limits/route.h
@@ -35,7 +35,7 @@
 template <typename T>
 using OptionalLocated = std::optional<Located<T>>;
 
-// Whether a query has to carry an idempotency key.
+// By idempotency key: all queries, those with a key, those without one.
 enum class KeyMatch { kAny, kGiven, kAbsent };
 
 // A table's full name or a prefix of it, in lower case: "schema.table" or "table".
--- a/src/log/line_text.cpp
+++ b/src/log/line_text.cpp
@@ -25,7 +25,7 @@
 }  // namespace
 
 void LineText::append_header(std::string_view level, std::string_view name, std::string_view component,
-                             std::string_view text) {
+                             std::string_view event) {
   if (json_) {
     append_member("level", level);
     line_ += ',';
@@ -33,14 +33,14 @@
     line_ += ',';
     append_member("component", component);
     line_ += ',';
-    append_member("event", text);
+    append_member("event", event);
     return;
   }
   line_ += level;
   line_ += ' ';
   append_escaped(name, false);
   line_ += ": ";
-  append_escaped(text, false);
+  append_escaped(event, false);
   if (component != "net") append_member(" component", component);
 }
 
--- a/src/metrics/counters.h
+++ b/src/metrics/counters.h
@@ -107,7 +107,7 @@
   std::uint64_t reloads_failed = 0;
   std::uint64_t wall_clock_steps = 0;
   std::uint64_t turns = 0;
-  std::uint64_t late_turns = 0;  // that acted only in the next turn, after the sockets were read
+  std::uint64_t late_turns = 0;  // left their work to the next one, which comes once the sockets were read
   std::uint64_t reads_paused = 0;
   std::uint64_t accepts_paused = 0;
   DurationStats timer_lateness;
--- a/src/sample/ask.h
+++ b/src/sample/ask.h
@@ -18,12 +18,14 @@
 struct Reply {
   enum class Kind { kServed, kRefused, kFailed };
   Kind kind = Kind::kFailed;
-  std::string rows;                           // of kServed
-  std::map<std::string, std::string> fields;  // `cooldown` with kRefused, `why` with kFailed
+  std::string rows;  // of kServed
+  // `cooldown` with kRefused; with kFailed the controller's `reason`, or `why` for a protocol error.
+  std::map<std::string, std::string> fields;
 };
 
 // Blocks until the answer is there. Throws std::exception if no connection is established within 2 s, if
-// nothing arrives for `wait_ms` and one second more, or if the answer is malformed.
+// nothing arrives for `wait_ms` and one second more, if the connection is closed, or if the answer is
+// malformed.
 Reply ask(const Request& request);
 
 }  // namespace orchidgw::sample
--- a/src/service_level/ladder.h
+++ b/src/service_level/ladder.h
@@ -27,7 +27,7 @@
   void reset();                // starts the hold times anew
   std::string reason() const;  // the comparisons that hold, with their values
   // Ratio by which a signal is past its threshold, 1 at the threshold: the highest of all comparisons. 0: no
-  // value.
+  // value, or a threshold of 0.
   double excess() const;
 
  private:
--- a/src/service_level/level.h
+++ b/src/service_level/level.h
@@ -91,7 +91,9 @@
 struct Trial {
   std::vector<double> parts = {0.1, 0.3, 0.6};
   TimeUs step = 10'000'000;
-  TimeUs wait = 30'000'000;  // until the next trial after a failed one; doubles with each failure in a row
+  // Until the next trial after a failed one, and until a level that did not help may be entered again.
+  // Doubles each time in a row, up to `wait_most`.
+  TimeUs wait = 30'000'000;
   TimeUs wait_most = 600'000'000;
 };
 
--- a/src/service_level/service_level.cpp
+++ b/src/service_level/service_level.cpp
@@ -263,7 +263,7 @@
     if (ladder.level_since() > 0)
       out += " for " + std::to_string((now - ladder.level_since()) / 1'000'000) + " s";
     if (ladder.admitted_share() > 0)
-      out += ", trial with " + std::to_string(std::lround(ladder.admitted_share() * 100)) + "% let in";
+      out += ", trial with " + std::to_string(std::lround(ladder.admitted_share() * 100)) + "% admitted";
     out += ", changes " + std::to_string(ladder.change_count()) + "\n";
   }
   if (scopes_.empty()) out = "no levels in the operators' file\n";
--- a/src/thrift/binary.h
+++ b/src/thrift/binary.h
@@ -1,4 +1,5 @@
-// Reader and writer for Thrift's strict binary protocol, on byte strings. No I/O.
+// Reader and writer for Thrift's strict binary protocol, on byte strings. The reader never goes beyond its
+// bytes, whatever lengths they state. No I/O.
 #pragma once
 
 #include <cstdint>
