--- a/bench/fleet_sizes.cpp
+++ b/bench/fleet_sizes.cpp
@@ -95,9 +95,9 @@
   std::cout << std::flush;
 }
 
-// All lose power and are back within a second, with a ramp of 6 s; each controller sends one keyed load a
-// second. Measures the time until the first keyed load is sent, all have a lease, and all that can be leased
-// is leased.
+// All lose power and are back within a second, with a ramp of 6 s; each controller that has a lease requests
+// 2.5 keys a second on average (in one of 40 steps of 10 ms). Measures the time until the first keyed load is
+// sent, all have a lease, and all that can be leased is leased.
 void measure_power_loss(int members, int seeds) {
   Samples leased, divided, keyed;
   for (int seed = 1; seed <= seeds; ++seed) {
--- a/src/budget/holder.cpp
+++ b/src/budget/holder.cpp
@@ -75,7 +75,7 @@
   if (superseded_) drop_lease();
   if (grant.kind != Grant::Kind::kLease) return superseded_ || not_admitted_;
   if (superseded_ || grant.number <= number_) return false;
-  for (const Terms& newer : terms) adopt_terms(newer);
+  for (const Terms& received : terms) adopt_terms(received);
   if (grant.revision != terms_.revision || grant.parts.size() != parts_.size()) return false;
   // A lease that has expired on arrival is not adopted: acknowledging it would give back parts that may still
   // be in use.
--- a/src/budget/holder.h
+++ b/src/budget/holder.h
@@ -29,8 +29,8 @@
   // can't be given back before it ends, by allowance.
   LeaseRequest ask(TimeUs now, std::vector<Parts> demand, const std::vector<Parts>& parts_in_use);
 
-  // Handles an answer; `terms`: none, or those that it refers to. Returns false if it changes nothing (late,
-  // duplicate, not for this process).
+  // Handles an answer; `terms`: none, or those that it refers to. Returns false if it is ignored (late,
+  // duplicate, not for this process, a lease that has expired on arrival).
   bool answered(TimeUs now, const Grant& grant, const std::vector<Terms>& terms);
 
   // Returns the parts that may be used now, including the cut-off part. To be checked at each send.
--- a/src/budget/terms.h
+++ b/src/budget/terms.h
@@ -22,7 +22,7 @@
 struct Allowance {
   std::string name;
   Parts whole = 0;    // total of the fleet
-  Parts cut_off = 0;  // may be used by a controller without a lease; set aside for `largest` controllers
+  Parts cut_off = 0;  // usable by each controller, with or without a lease; set aside for `largest` of them
   Parts reserve = 0;  // kept free for new members
   Parts least = 0;    // minimum of each live member, as far as the total allows it
   bool operator==(const Allowance&) const = default;
--- a/src/fleet/allowances.h
+++ b/src/fleet/allowances.h
@@ -52,7 +52,8 @@
   std::vector<budget::Parts> parts(TimeUs now, const budget::Terms& terms, const limits::FleetUsage& use);
 
   // By allowance: the parts in use beyond the cut-off part that can't be given back yet. For concurrency
-  // these are queries in flight; for a CPU budget the largest part leased within the last window.
+  // these are queries in flight, for a rate none; for other allowances the largest part leased within the
+  // last window.
   std::vector<budget::Parts> parts_in_use(TimeUs now, const budget::LeaseHolder& holder,
                                           const limits::FleetUsage& use);
 
--- a/src/fleet/member_role.cpp
+++ b/src/fleet/member_role.cpp
@@ -52,16 +52,16 @@
 bool MemberRole::on_reply(TimeUs now, const GrantReply& reply) {
   leader_known_ = true;
   keys_settled_ = reply.keys_settled;
-  const bool lease_changed = holder_.answered(now, reply.grant, reply.terms);
+  const bool accepted = holder_.answered(now, reply.grant, reply.terms);
   // A lease by an earlier request ends the wait too: the keeper is alive, and slow.
-  if (reply.grant.seq != last_seq_ && !lease_changed) return lease_changed;
+  if (reply.grant.seq != last_seq_ && !accepted) return accepted;
   awaiting_reply_ = false;
   redirect_count_ = 0;
   next_request_at_ = holder_.must_acknowledge() ? now : requested_at_ + with_jitter(renewal_interval());
-  // A request that did not change the lease (not admitted, no terms yet) is repeated after the usual
-  // interval.
-  if (!lease_changed) next_request_at_ = std::max(next_request_at_, now + with_jitter(reply_timeout()));
-  return lease_changed;
+  // After a reply that was ignored, such as a lease that had expired on arrival, the next request is sent a
+  // reply timeout from now at the earliest.
+  if (!accepted) next_request_at_ = std::max(next_request_at_, now + with_jitter(reply_timeout()));
+  return accepted;
 }
 
 void MemberRole::on_reply(TimeUs now, const Redirect& redirect) {
--- a/src/fleet/member_role.h
+++ b/src/fleet/member_role.h
@@ -25,7 +25,7 @@
   budget::LeaseRequest ask(TimeUs now, std::vector<budget::Parts> demand,
                            const std::vector<budget::Parts>& parts_in_use);
 
-  // Handles a reply. True: the lease has changed or was renewed.
+  // Handles a reply. False: it was ignored. True: what may be used may have changed, or was prolonged.
   bool on_reply(TimeUs now, const GrantReply& reply);
   void on_reply(TimeUs now, const Redirect& redirect);
   void link_down(TimeUs now, KeeperId keeper);  // the connection to `keeper` was lost
--- a/src/keeper/keeper.cpp
+++ b/src/keeper/keeper.cpp
@@ -32,8 +32,8 @@
 
 }  // namespace
 
-// The callbacks of libraft. No exception may be thrown through its C code, so they only buffer writes; the
-// store commits them in `flush`.
+// The callbacks of libraft. No exception may be thrown through its C code, so writes are only buffered here;
+// the store commits them in `flush`.
 struct Keeper::Impl {
   struct Proposal {  // one entry that was proposed here; freed in entry_done
     struct raft_apply raft {};
@@ -69,7 +69,7 @@
   std::uint64_t tracked_term = 0;                            // the term that `followers` belongs to
   struct Follower {
     std::uint64_t acknowledged = 0;  // highest index that it has acknowledged
-    int stale_rejections = 0;        // rejections in a row by which it has less than that
+    int stale_rejections = 0;        // rejections in a row that report less than that
   };
   std::map<fleet::KeeperId, Follower> followers;  // of this leader
 
--- a/src/promises/key_holder.cpp
+++ b/src/promises/key_holder.cpp
@@ -12,7 +12,7 @@
 constexpr std::size_t kMaxWantsPerRequest = 256;  // and as many releases
 constexpr std::size_t kMaxPendingReleases = 4096;
 constexpr TimeUs kRetryDivisor = 12;        // a request without a reply is repeated after 1/12 of a term
-constexpr TimeUs kUnresponsiveDivisor = 6;  // requests are tried again after 1/6 of a term
+constexpr TimeUs kUnresponsiveDivisor = 6;  // after a timeout, requests are made again after 1/6 of a term
 
 }  // namespace
 
@@ -59,7 +59,7 @@
 // before the release was committed.
 void KeyHolder::add_releases(TimeUs now, KeyRequest& ask) {
   if (releases_.empty()) return;
-  const auto say = [&](PendingReleases::iterator it) {
+  const auto add = [&](PendingReleases::iterator it) {
     if (ask.free.size() >= kMaxWantsPerRequest) return false;
     ask.free.push_back({it->first.second, it->first.first});
     it->second = now + answer_timeout();
@@ -67,11 +67,11 @@
   };
   for (const HoldRequest& want : ask.wants)
     for (auto it = releases_.lower_bound({want.identity, 0}); it != releases_.end(); ++it)
-      if (it->first.first != want.identity || !say(it)) break;
+      if (it->first.first != want.identity || !add(it)) break;
   if (next_release_due_ > now) return;
   next_release_due_ = now + answer_timeout();
   for (auto it = releases_.begin(); it != releases_.end(); ++it)
-    if (it->second <= now && !say(it))
+    if (it->second <= now && !add(it))
       next_release_due_ = now;
     else
       next_release_due_ = std::min(next_release_due_, it->second);
--- a/src/promises/key_table.h
+++ b/src/promises/key_table.h
@@ -6,13 +6,11 @@
 // - a key is granted to one query of one process, and to no other before that query releases it or its hold
 //   expires;
 // - it is released before its hold expires only by its holder, who thereby states that nothing of the query
-// has
-//   run or will run;
+//   has run or will run;
 // - each further attempt starts another hold under another number, which the end of an older one does not
-// end;
+//   end;
 // - a log that knows nothing of an earlier one (it is new, or its disks are) grants nothing before the
-// longest
-//   hold has expired (`settled`).
+//   longest hold has expired (`settled`).
 #pragma once
 
 #include <map>
--- a/src/promises/key_watch.cpp
+++ b/src/promises/key_watch.cpp
@@ -8,8 +8,8 @@
 namespace {
 
 constexpr std::size_t kMaxQueuedRequests = 8192;
-constexpr std::size_t kMaxKeysPerEntry =
-    2048;  // wanted or released: bounds the size of a log entry and its delay
+// Wanted or released: bounds the size of a log entry and its delay.
+constexpr std::size_t kMaxKeysPerEntry = 2048;
 constexpr std::size_t kMaxEndedPerEntry = 4096;  // bounds the size of a log entry, too
 
 TimeUs hold_expiry_delay(TimeUs key_hold, const budget::Terms& terms) {
--- a/src/recovery/key_book.cpp
+++ b/src/recovery/key_book.cpp
@@ -9,8 +9,8 @@
                              std::size_t max_intents)
     : boot_(std::move(boot)), max_intents_(max_intents) {
   for (const store::Intent& intent : found) {
-    // A time in the future is not of this boot, whatever the intent says: no window may last longer than
-    // itself.
+    // A time in the future is not of this boot, whatever the intent says. Counted from it, the identity would
+    // be held for longer than its window.
     const bool time_known = intent.boot == boot_ && intent.at <= now;
     const TimeUs until = (time_known ? intent.at : now) + intent.window;
     TimeUs& held_until = held_until_[intent.identity];
--- a/src/store/intent_store.h
+++ b/src/store/intent_store.h
@@ -17,7 +17,7 @@
   std::string identity;  // of the query, by which a repeated one is recognized
   std::string boot;      // id of the machine's boot, from which `at` counts
   TimeUs at = 0;         // a time before the attempt was sent
-  TimeUs window = 0;     // how long the key is held from then on
+  TimeUs window = 0;     // how long the identity is held from then on
   bool operator==(const Intent&) const = default;
 };
 
--- a/src/store/log_store.h
+++ b/src/store/log_store.h
@@ -76,7 +76,7 @@
 };
 
 // Writes are buffered in order until `commit`, which makes them durable together: all or none of them.
-// Buffering never fails; `load` and `commit` throw StoreError.
+// Buffering never fails; `load`, `snapshot` and `commit` throw StoreError.
 class LogStore {
  public:
   virtual ~LogStore() = default;
--- a/tests/fleet/fleet_harness.h
+++ b/tests/fleet/fleet_harness.h
@@ -38,7 +38,7 @@
   bool use_fleet = true;              // false: each controller runs alone with an equal part of the limits
   bool start_with_bad_store = false;  // a keeper whose store can't be used starts as a plain member
   bool store_intents = false;         // each controller stores intents in a folder of its own
-  int key_hold_ms = 0;  // for which the fleet holds the key of an at-most-once query; 0: it holds no keys
+  int key_hold_ms = 0;  // how long the fleet holds the key of an at-most-once query; 0: it holds no keys
 };
 
 class FleetHarness {
--- a/tests/fleet/fleet_keys_test.cpp
+++ b/tests/fleet/fleet_keys_test.cpp
@@ -75,8 +75,7 @@
 
 const std::string kLoadReference = "00000000000000a1";
 
-// Two controllers with shared limits: what one has sent the other does not send, also after the first was
-// killed.
+// Two controllers of one fleet: what one has sent the other does not send, also after the first was killed.
 TEST_F(FleetKeys, WhatOneControllerSentNoOtherSendsThroughAKill) {
   begin(shape_of(2, 1));
   fleet->hold_engines(true);
@@ -107,8 +106,8 @@
   EXPECT_GE(starts[1] - starts[0], kKeyHoldMs * 1'000);
 }
 
-// A keeper grants a hold after its query was refused because no answer came in time, and the release of the
-// hold is lost with the connection. A retry has to be served: the refusal said that it is harmless.
+// A keeper grants a hold, but its reply does not arrive in time, so the query is refused, and the release of
+// the hold is lost with the connection. A retry has to be served: the refusal said that it is harmless.
 TEST_F(FleetKeys, AKeyGivenTooLateForItsQueryDoesNotTurnTheNextOneAway) {
   FleetShape shape = shape_of(2, 1);
   shape.term_ms = 2'400;  // a hold is waited for half of it, which is less than the client waits
--- a/tests/keeper/simulation_test.cpp
+++ b/tests/keeper/simulation_test.cpp
@@ -143,8 +143,8 @@
   EXPECT_EQ(fleet.violation(), "");
 }
 
-// A commit takes longer than a member waits for a reply. Guards against members that repeat their requests
-// for ever and never get a lease.
+// A round, which takes a commit of the leader and one of a follower, takes longer than a member waits for a
+// reply. Guards against members that repeat their requests for ever and never get a lease.
 TEST(Simulation, DisksSlowerThanMembersWaitDoNotEndLeases) {
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
     FleetSimulation fleet(fleet_shape(3, 8), seed);
--- a/tests/soak/soak_test.cpp
+++ b/tests/soak/soak_test.cpp
@@ -1,7 +1,7 @@
 // Runs a few dozen controllers under random overlapping faults and checks the rules (docs/faults.md): guards
 // against lost answers, exceeded deadlines, duplicate runs and too many refusals when faults come together.
-// The seed is the test's parameter; ORCHIDGW_SOAK_SEEDS=FIRST-LAST and ORCHIDGW_SOAK_SECONDS
-// set other seeds and another length (`make soak`), ORCHIDGW_SOAK_PROGRAM another build of the program.
+// The seed is the test's parameter; ORCHIDGW_SOAK_SEEDS=FIRST-LAST and ORCHIDGW_SOAK_SECONDS set other seeds
+// and another length (`make soak`), ORCHIDGW_SOAK_PROGRAM another build of the program.
 #include <gtest/gtest.h>
 
 #include <atomic>
