--- a/src/decision/workload_budget.cpp
+++ b/src/decision/workload_budget.cpp
@@ -30,8 +30,7 @@
 // Usable part of an engine's memory: factor per wait for memory, least part, recovery per tick; an engine's
 // slowdown returns to the mean at that rate too.
 constexpr double kMemoryShareShrink = 0.8, kMinMemoryShare = 0.3, kRecoveryPerTick = 0.004;
-// Least time before an answer is overdue; where engines send no notes, this part of the latency target if
-// that is less.
+// Least time before an answer is overdue; if engines send no notes, this part of the latency target if less.
 constexpr double kMinAnswerWaitUs = 700 * kMs, kMinAnswerWaitPerTarget = 0.6;
 constexpr TimeUs kTickPeriod = 20 * kMs;    // expiry of queued queries, overdue attempts
 constexpr TimeUs kAnswerMargin = 60 * kMs;  // queued queries are answered this long before the deadline
@@ -358,9 +357,8 @@
                              : static_cast<double>(settings_.classes[class_index].latency_target) * 0.5;
   }
 
-  // Engines that overcommit grant nothing: they let every query in and slow all of them once memory is used
-  // up. There the estimate of memory is counted as a grant would be (DESIGN: "memory may be checked
-  // likewise").
+  // Engines that overcommit grant nothing: they admit every query and slow all of them once memory is used
+  // up. There the memory estimate is counted as a grant would be (DESIGN: "memory may be checked likewise").
   bool counts_memory() const {
     return settings_.grants || settings_.memory_shortage_policy == MemoryShortagePolicy::kOvercommit;
   }
@@ -436,16 +434,14 @@
       update_grant_multiple(stats, attempt, outcome.reported_memory_mb.value_or(0) > attempt.grant_mb);
   }
 
-  // Each of hundreds of gateways hears from an engine only once in seconds: the first answer counts in full,
-  // later ones less.
+  // Hundreds of gateways each hear from an engine only once in seconds: only the first answer counts in full.
   static void update_slowdown(Engine& engine, double slowdown) {
     engine.sample_count += 1;
     engine.slowdown += std::max(kEngineEwmaWeight, 1 / engine.sample_count) * (slowdown - engine.slowdown);
   }
 
   // --- CPU budgets ----------------------------------------------------------------------------------------
-  // An even share (DESIGN); where this gateway's arrivals are a larger part of the tenants' quotas, that part
-  // instead.
+  // An even share (DESIGN), or this gateway's arrivals as a part of the tenants' quotas where that is larger.
   void update_gateway_share(TimeUs now) {
     while (!arrivals_.empty() && arrivals_.front() < now - kBudgetWindow) arrivals_.pop_front();
     if (fleet_) return void(share_ = fleet_->bounds);
@@ -539,8 +535,7 @@
     return engine.used_threads <= std::min(mean_limit, std::max(core_limit, 0.0)) + 1e-9;
   }
 
-  // Memory is checked likewise (DESIGN leaves it open): queries wait here in order of value, not in the
-  // engine.
+  // Memory is checked likewise (DESIGN leaves it open): queries wait here in order of value, not in engines.
   bool memory_allows(const TrackedQuery& tracked, const Engine& engine) {
     if (!counts_memory() || engine.memory_mb <= 0 || engine.granted_mb <= 0) return true;
     return engine.granted_mb + grant_mb_for(tracked, engine) <=
@@ -837,9 +832,8 @@
            only_suspects_left(tracked, now);
   }
 
-  // Guards against queries that had their first attempt, or may not be repeated, waiting for engines that
-  // nobody tries until they are refused: without new queries that are safe to repeat, all suspects stayed
-  // suspect.
+  // Guards against refusing queries that had their first attempt, or may not be repeated, after a wait for
+  // engines that nobody tries: without new queries that are safe to repeat, all suspects stayed suspect.
   bool only_suspects_left(const TrackedQuery& tracked, TimeUs now) const {
     return std::none_of(engines_.begin(), engines_.end(), [&](const auto& item) {
       const Engine& engine = item.second;
@@ -877,9 +871,8 @@
   }
 
   // Guards against engines that answer nothing (each budget reset sent them queries again) and answers lost
-  // on the way: a query goes elsewhere when its notes stay away or, without notes, when it takes several
-  // times what its class takes; its engine is silent if nothing came from it since. Overdue, but notes come:
-  // a slow engine.
+  // on the way: a query goes elsewhere when its notes stay away or, without notes, if it takes several times
+  // what its class takes; its engine is silent if nothing came from it since. Overdue with notes: it is slow.
   void check_overdue_attempts(TimeUs now, ActionSink& sink) {
     for (auto& [id, engine] : engines_) {
       for (const auto& [query_id, attempt_index] : engine.attempts) {
@@ -925,8 +918,7 @@
   }
 
   // Guards against a bad plan (each attempt gets a new one): at the pace of its notes the attempt would take
-  // several times what its class takes now. Once a query, where it is safe to repeat and a new attempt can be
-  // in time.
+  // several times what its class takes now. Once a query, if safe to repeat and a new attempt can be in time.
   bool is_runaway(const TrackedQuery& tracked, const Attempt& attempt, double progress, TimeUs now) {
     const double elapsed_us =
         static_cast<double>(now - attempt.sent_at - (gateway_stall_ - attempt.stall_at_send));
